--- a/paddlepier/base/boundedwriter.cpp
+++ b/paddlepier/base/boundedwriter.cpp
@@ -89,7 +89,7 @@
     return true;
 }
 
-std::int64_t BoundedWriter::takeDropped()
+std::int64_t BoundedWriter::drainDroppedCount()
 {
     const absl::MutexLock lock(&this->state->mutex);
     return std::exchange(this->state->dropped, 0);
--- a/paddlepier/base/boundedwriter.h
+++ b/paddlepier/base/boundedwriter.h
@@ -36,7 +36,7 @@
     bool post(std::string_view text);
 
     /** Texts that were dropped since the last call of this function. */
-    std::int64_t takeDropped();
+    std::int64_t drainDroppedCount();
 
     /** Writes what waits, for @p patience at most; later texts are dropped. */
     void stop(Duration patience);
--- a/paddlepier/base/boundedwriter_test.cpp
+++ b/paddlepier/base/boundedwriter_test.cpp
@@ -69,7 +69,7 @@
     CHECK(writer.post("two\n"));
     writer.stop(absl::Seconds(60));
     CHECK(this->reads("one\ntwo\n"));
-    CHECK(writer.takeDropped() == 0);
+    CHECK(writer.drainDroppedCount() == 0);
 }
 
 TEST_CASE_METHOD(BoundedWriterFixture, "lines_moreThanAPipeTakesInOnePiece_comeInWholeLines")
@@ -105,8 +105,8 @@
         refused += writer.post(line) ? 0 : 1;
     }
     CHECK(refused > 0);
-    CHECK(writer.takeDropped() == refused);
-    CHECK(writer.takeDropped() == 0);
+    CHECK(writer.drainDroppedCount() == refused);
+    CHECK(writer.drainDroppedCount() == 0);
     CHECK(this->reads(line));
 }
 
@@ -129,7 +129,7 @@
     while (writer.post("")) {
         ::usleep(1000);
     }
-    CHECK(writer.takeDropped() > 0);
+    CHECK(writer.drainDroppedCount() > 0);
 }
 
 } // namespace paddlepier
--- a/paddlepier/base/clock.cpp
+++ b/paddlepier/base/clock.cpp
@@ -27,7 +27,7 @@
     return absl::UnixEpoch() + read(CLOCK_BOOTTIME);
 }
 
-Duration suspendedInAll()
+Duration totalSuspendedTime()
 {
     const Duration steady = read(CLOCK_MONOTONIC);
     return read(CLOCK_BOOTTIME) - steady;
--- a/paddlepier/base/clock.h
+++ b/paddlepier/base/clock.h
@@ -25,7 +25,7 @@
 Timestamp controlNow();
 
 /** How long the machine has been suspended since it was started. */
-Duration suspendedInAll();
+Duration totalSuspendedTime();
 
 /** Microseconds since 1970 on the wall clock. */
 std::int64_t wallMicros();
--- a/paddlepier/base/clock_test.cpp
+++ b/paddlepier/base/clock_test.cpp
@@ -63,10 +63,10 @@
 
 TEST_CASE("suspensionWatch_afterASuspension_tellsItOnce")
 {
-    SuspensionWatch watch(absl::Seconds(40));
-    CHECK(watch.note(absl::Seconds(40) + absl::Microseconds(300)) == absl::ZeroDuration());
-    CHECK(watch.note(absl::Seconds(43)) == absl::Seconds(3));
-    CHECK(watch.note(absl::Seconds(43)) == absl::ZeroDuration());
+    SuspensionDetector watch(absl::Seconds(40));
+    CHECK(watch.update(absl::Seconds(40) + absl::Microseconds(300)) == absl::ZeroDuration());
+    CHECK(watch.update(absl::Seconds(43)) == absl::Seconds(3));
+    CHECK(watch.update(absl::Seconds(43)) == absl::ZeroDuration());
 }
 
 } // namespace paddlepier
--- a/paddlepier/base/jsonfields.cpp
+++ b/paddlepier/base/jsonfields.cpp
@@ -65,7 +65,7 @@
     return number;
 }
 
-std::uint64_t strictNumberOf(const Json &object, const char *name, std::uint64_t most)
+std::uint64_t positiveNumberOf(const Json &object, const char *name, std::uint64_t most)
 {
     const Json *value = find(object, name);
     if (value == nullptr) {
@@ -77,7 +77,7 @@
     return value->get<std::uint64_t>();
 }
 
-std::uint32_t smallNumberOf(const Json &object, const char *name, std::uint32_t fallback)
+std::uint32_t uint32Of(const Json &object, const char *name, std::uint32_t fallback)
 {
     return static_cast<std::uint32_t>(numberOf(object, name, fallback));
 }
@@ -94,7 +94,7 @@
     return value->get<double>();
 }
 
-bool flagOf(const Json &object, const char *name)
+bool boolOf(const Json &object, const char *name)
 {
     const Json *value = find(object, name);
     if (value != nullptr && !value->is_boolean()) {
@@ -143,7 +143,7 @@
     return texts;
 }
 
-std::string textIn(const Json &value)
+std::string rowText(const Json &value)
 {
     if (!value.is_string()) {
         throw MalformedBodyError("a text is expected in a row");
@@ -151,7 +151,7 @@
     return value.get<std::string>();
 }
 
-std::uint64_t numberIn(const Json &value, std::uint64_t most)
+std::uint64_t rowNumber(const Json &value, std::uint64_t most)
 {
     if (!isWholeFromZero(value) || wholePartOf(value) > most) {
         throw MalformedBodyError(absl::StrCat("a number from 0 to ", most, " is expected in a row"));
--- a/paddlepier/base/jsonfields.h
+++ b/paddlepier/base/jsonfields.h
@@ -25,8 +25,8 @@
 
 using Json = nlohmann::json;
 
-constexpr std::uint64_t mostSmallNumber = std::numeric_limits<std::uint32_t>::max();
-constexpr std::uint64_t mostNumber = std::numeric_limits<std::int64_t>::max();
+constexpr std::uint64_t maxUint32 = std::numeric_limits<std::uint32_t>::max();
+constexpr std::uint64_t maxNumber = std::numeric_limits<std::int64_t>::max();
 
 /** @throws MalformedBodyError if @p body is no JSON object */
 Json parseObject(const std::string &body);
@@ -34,12 +34,12 @@
 /** Null if the field is missing or null. @throws MalformedBodyError if @p object is none */
 const Json *find(const Json &object, const char *name);
 
-std::uint64_t numberOf(const Json &object, const char *name, std::uint64_t fallback = 0, std::uint64_t most = mostSmallNumber);
+std::uint64_t numberOf(const Json &object, const char *name, std::uint64_t fallback = 0, std::uint64_t most = maxUint32);
 /** The same without a fraction, however it is written, and from 1; 0 if it is missing. */
-std::uint64_t strictNumberOf(const Json &object, const char *name, std::uint64_t most);
-std::uint32_t smallNumberOf(const Json &object, const char *name, std::uint32_t fallback = 0);
+std::uint64_t positiveNumberOf(const Json &object, const char *name, std::uint64_t most);
+std::uint32_t uint32Of(const Json &object, const char *name, std::uint32_t fallback = 0);
 double realOf(const Json &object, const char *name, double fallback);
-bool flagOf(const Json &object, const char *name);
+bool boolOf(const Json &object, const char *name);
 std::string textOf(const Json &object, const char *name);
 /** @throws InvalidArgumentError also if the text is missing or empty */
 std::string requiredTextOf(const Json &object, const char *name);
@@ -48,8 +48,8 @@
 std::vector<std::string> textsOf(const Json &object, const char *name);
 
 /** An entry of a row. @throws MalformedBodyError if it is of another type, or a number below 0 or above @p most */
-std::string textIn(const Json &value);
-std::uint64_t numberIn(const Json &value, std::uint64_t most = mostSmallNumber);
+std::string rowText(const Json &value);
+std::uint64_t rowNumber(const Json &value, std::uint64_t most = maxUint32);
 
 } // namespace paddlepier::json
 
--- a/paddlepier/base/log.cpp
+++ b/paddlepier/base/log.cpp
@@ -4,7 +4,7 @@
 
 #include "paddlepier/base/boundedwriter.h"
 #include "paddlepier/base/error.h"
-#include "paddlepier/base/linebudget.h"
+#include "paddlepier/base/logratelimiter.h"
 
 #include <absl/strings/str_cat.h>
 #include <flatbuffers/util.h>
@@ -105,7 +105,7 @@
     static std::int64_t takeDropped()
     {
         WriterAppender *appender = current;
-        return appender == nullptr ? 0 : appender->writer.takeDropped();
+        return appender == nullptr ? 0 : appender->writer.drainDroppedCount();
     }
 
 protected:
@@ -120,9 +120,9 @@
     BoundedWriter writer{STDOUT_FILENO, mostWaitingBytes};
 };
 
-LineBudget &lineBudget()
+LogRateLimiter &lineBudget()
 {
-    static LineBudget budget(mostLinesPerSecond);
+    static LogRateLimiter budget(mostLinesPerSecond);
     return budget;
 }
 
@@ -148,7 +148,7 @@
     root.setLogLevel(toLibraryLevel(lowest));
 }
 
-void finishAndExit(int status)
+void flushAndExit(int status)
 {
     WriterAppender::finish();
     std::_Exit(status);
@@ -169,9 +169,9 @@
     if (!log4cplus::Logger::getRoot().isEnabledFor(toLibraryLevel(level))) {
         return;
     }
-    const LineBudget::Verdict verdict = lineBudget().take(event, controlNow());
-    if (verdict.leftOut > 0) {
-        writeLine(Level::Warning, "log", "lines.left-out", {{"of", event}, {"lines", verdict.leftOut}});
+    const LogRateLimiter::Decision verdict = lineBudget().admit(event, controlNow());
+    if (verdict.suppressedLines > 0) {
+        writeLine(Level::Warning, "log", "lines.left-out", {{"of", event}, {"lines", verdict.suppressedLines}});
     }
     const std::int64_t dropped = WriterAppender::takeDropped();
     if (dropped > 0) {
--- a/paddlepier/base/log.h
+++ b/paddlepier/base/log.h
@@ -70,7 +70,7 @@
  * The logging library ends its own threads when it is destroyed, which has kept stopped processes for seconds. Call it when
  * everything that needs an orderly end has had it.
  */
-[[noreturn]] void finishAndExit(int status);
+[[noreturn]] void flushAndExit(int status);
 
 void write(Level level, std::string_view component, std::string_view event, Fields fields);
 
--- a/paddlepier/base/linebudget.h
+++ b/paddlepier/base/logratelimiter.h
@@ -8,8 +8,8 @@
 //
 // Thread safety: every function may be called from any thread. Cost: one look-up under a lock.
 
-#ifndef PADDLEPIER_BASE_LINEBUDGET_H
-#define PADDLEPIER_BASE_LINEBUDGET_H
+#ifndef PADDLEPIER_BASE_LOGRATELIMITER_H
+#define PADDLEPIER_BASE_LOGRATELIMITER_H
 
 #include "paddlepier/base/clock.h"
 
@@ -24,29 +24,29 @@
 namespace paddlepier
 {
 
-class LineBudget
+class LogRateLimiter
 {
 public:
-    struct Verdict {
+    struct Decision {
         bool isAllowed = true;
         /** Lines of the event that were left out in an earlier second and not told yet. */
-        std::int64_t leftOut = 0;
+        std::int64_t suppressedLines = 0;
     };
 
-    explicit LineBudget(std::int64_t linesPerSecond);
+    explicit LogRateLimiter(std::int64_t linesPerSecond);
 
-    Verdict take(std::string_view event, Timestamp now);
+    Decision admit(std::string_view event, Timestamp now);
 
 private:
-    struct Second {
+    struct Window {
         Timestamp begin = absl::InfinitePast();
         std::int64_t lines = 0;
-        std::int64_t leftOut = 0;
+        std::int64_t suppressedLines = 0;
     };
 
-    const std::int64_t most;
+    const std::int64_t limit;
     absl::Mutex mutex;
-    std::map<std::string, Second, std::less<>> seconds ABSL_GUARDED_BY(mutex);
+    std::map<std::string, Window, std::less<>> windows ABSL_GUARDED_BY(mutex);
 };
 
 } // namespace paddlepier
--- /dev/null
+++ b/paddlepier/base/logratelimiter_test.cpp
@@ -0,0 +1,43 @@
+// Lines a second of one event, and the count of those left out.
+
+#include "paddlepier/base/logratelimiter.h"
+
+#include <catch2/catch.hpp>
+
+namespace paddlepier
+{
+
+namespace
+{
+
+class LineBudgetFixture
+{
+public:
+    Timestamp now = absl::UnixEpoch() + absl::Hours(1);
+    LogRateLimiter budget{3};
+};
+
+} // namespace
+
+TEST_CASE_METHOD(LineBudgetFixture, "event_overItsBudget_isLeftOutAndToldInTheNextSecond")
+{
+    for (int line = 0; line < 3; ++line) {
+        CHECK(this->budget.admit("a", this->now).isAllowed);
+    }
+    CHECK_FALSE(this->budget.admit("a", this->now + absl::Milliseconds(500)).isAllowed);
+    CHECK_FALSE(this->budget.admit("a", this->now + absl::Milliseconds(999)).isAllowed);
+    const LogRateLimiter::Decision next = this->budget.admit("a", this->now + absl::Seconds(1));
+    CHECK(next.isAllowed);
+    CHECK(next.suppressedLines == 2);
+    CHECK(this->budget.admit("a", this->now + absl::Seconds(3)).suppressedLines == 0);
+}
+
+TEST_CASE_METHOD(LineBudgetFixture, "event_besideAnotherOverItsBudget_isAllowed")
+{
+    for (int line = 0; line < 10; ++line) {
+        this->budget.admit("a", this->now);
+    }
+    CHECK(this->budget.admit("b", this->now).isAllowed);
+}
+
+} // namespace paddlepier
--- a/paddlepier/base/mailbox.h
+++ b/paddlepier/base/mailbox.h
@@ -44,7 +44,7 @@
     }
 
     /** Like post(), beyond the limit: for completions, whose number the sender has bounded already. */
-    void postAlways(Work work)
+    void postUnbounded(Work work)
     {
         const absl::MutexLock lock(&this->mutex);
         if (!this->closed) {
@@ -53,7 +53,7 @@
     }
 
     /** Waits up to @p patience for work; empty after a timeout or close(). */
-    std::vector<Work> take(Duration patience)
+    std::vector<Work> drain(Duration patience)
     {
         std::vector<Work> taken;
         const absl::MutexLock lock(&this->mutex);
--- a/paddlepier/base/suspension.cpp
+++ b/paddlepier/base/suspension.cpp
@@ -7,15 +7,15 @@
 namespace paddlepier
 {
 
-SuspensionReport::SuspensionReport(Counters &counters)
-    : watch(suspendedInAll())
+SuspensionReporter::SuspensionReporter(Counters &counters)
+    : detector(totalSuspendedTime())
     , suspensions(counters.counter("machine_suspensions_total"))
 {
 }
 
-void SuspensionReport::look()
+void SuspensionReporter::check()
 {
-    const Duration suspended = this->watch.note(suspendedInAll());
+    const Duration suspended = this->detector.update(totalSuspendedTime());
     if (suspended > absl::ZeroDuration()) {
         this->suspensions.add();
         log::warning("clock", "machine.suspended", {{"millis", absl::ToInt64Milliseconds(suspended)}});
--- a/paddlepier/base/suspension.h
+++ b/paddlepier/base/suspension.h
@@ -18,41 +18,41 @@
 namespace paddlepier
 {
 
-class SuspensionWatch
+class SuspensionDetector
 {
 public:
-    explicit SuspensionWatch(Duration inAll)
-        : seen(inAll)
+    explicit SuspensionDetector(Duration inAll)
+        : lastTotal(inAll)
     {
     }
 
     /** @return how long the machine was suspended since the last look; zero if it wasn't */
-    Duration note(Duration inAll)
+    Duration update(Duration inAll)
     {
         // The two clocks are read one after the other.
         constexpr Duration noticeable = absl::Milliseconds(20);
-        const Duration since = inAll - this->seen;
+        const Duration since = inAll - this->lastTotal;
         if (since < noticeable) {
             return absl::ZeroDuration();
         }
-        this->seen = inAll;
+        this->lastTotal = inAll;
         return since;
     }
 
 private:
-    Duration seen;
+    Duration lastTotal;
 };
 
 /** Writes a line, and counts, when the machine was suspended since the last look. */
-class SuspensionReport
+class SuspensionReporter
 {
 public:
-    explicit SuspensionReport(Counters &counters);
+    explicit SuspensionReporter(Counters &counters);
 
-    void look();
+    void check();
 
 private:
-    SuspensionWatch watch;
+    SuspensionDetector detector;
     Counter &suspensions;
 };
 
--- a/paddlepier/cli/client.cpp
+++ b/paddlepier/cli/client.cpp
@@ -30,14 +30,14 @@
     outgoing.body = request;
     outgoing.timeout = callTimeout;
     const http::TransferResult result = http::fetch(outgoing);
-    if (!result.whole) {
-        throw DataCentreUnreachableError(absl::StrCat("no answer from ", this->server, ": ", result.problem));
+    if (!result.isComplete) {
+        throw DataCentreUnreachableError(absl::StrCat("no answer from ", this->server, ": ", result.error));
     }
-    if (result.answer.status != 200) {
-        const wire::ErrorReplyT error = rpc::errorFromJson(result.answer.body);
+    if (result.response.status != 200) {
+        const wire::ErrorReplyT error = rpc::errorFromJson(result.response.body);
         throw Error(error.error, error.message);
     }
-    return result.answer.body;
+    return result.response.body;
 }
 
 } // namespace paddlepier::cli
--- a/paddlepier/cluster/advicecallers.cpp
+++ b/paddlepier/cluster/advicecallerpool.cpp
@@ -1,8 +1,8 @@
 // Shares questions to the policy service out over the instances.
 
-#include "paddlepier/cluster/advicecallers.h"
+#include "paddlepier/cluster/advicecallerpool.h"
 
-#include "paddlepier/planning/advicebook.h"
+#include "paddlepier/planning/advicecache.h"
 
 #include <algorithm>
 
@@ -25,20 +25,20 @@
 
 } // namespace
 
-void AdviceCallers::noteAlive(Timestamp now, const std::string &instance)
+void AdviceCallerPool::markAlive(Timestamp now, const std::string &instance)
 {
-    this->callers[instance].aliveAt = now;
+    this->callers[instance].lastSeenAt = now;
 }
 
 template<typename Visit>
-void AdviceCallers::visitFree(Timestamp now, bool isLong, Visit visit) const
+void AdviceCallerPool::forEachAvailable(Timestamp now, bool isLong, Visit visit) const
 {
-    const auto isAlive = [now](const auto &entry) { return now - entry.second.aliveAt < aliveFor; };
+    const auto isAlive = [now](const auto &entry) { return now - entry.second.lastSeenAt < aliveFor; };
     const auto alive = static_cast<std::size_t>(std::count_if(this->callers.begin(), this->callers.end(), isAlive));
     const std::size_t shortOnly = alive > 1 ? (alive + shortOnlyShare - 1) / shortOnlyShare : 0;
     std::size_t number = 0;
     for (const auto &[name, caller] : this->callers) {
-        if (now - caller.aliveAt >= aliveFor || caller.avoidedUntil > now) {
+        if (now - caller.lastSeenAt >= aliveFor || caller.avoidedUntil > now) {
             continue;
         }
         const bool isShortOnly = number++ < shortOnly;
@@ -48,25 +48,26 @@
     }
 }
 
-std::size_t AdviceCallers::freeForLong(Timestamp now) const
+std::size_t AdviceCallerPool::availableForLong(Timestamp now) const
 {
     std::size_t found = 0;
-    this->visitFree(now, true, [&found](const std::string &, const Caller &) { ++found; });
+    this->forEachAvailable(now, true, [&found](const std::string &, const Caller &) { ++found; });
     return found;
 }
 
-Duration AdviceCallers::timeForShort(Timestamp now) const
+Duration AdviceCallerPool::timeAvailableForShort(Timestamp now) const
 {
     Duration time;
-    this->visitFree(now, false, [now, &time](const std::string &, const Caller &caller) { time += now + longestWait - std::max(now, caller.busyUntil); });
+    this->forEachAvailable(
+        now, false, [now, &time](const std::string &, const Caller &caller) { time += now + longestWait - std::max(now, caller.busyUntil); });
     return time;
 }
 
-AdviceChoice AdviceCallers::choose(Timestamp now, Duration cost)
+AssignedCaller AdviceCallerPool::assignCaller(Timestamp now, Duration cost)
 {
     std::string best;
     Timestamp bestEnd = absl::InfiniteFuture();
-    this->visitFree(now, cost > planning::longQuestionCost, [&](const std::string &name, const Caller &caller) {
+    this->forEachAvailable(now, cost > planning::longRequestThreshold, [&](const std::string &name, const Caller &caller) {
         const Timestamp end = std::max(now, caller.busyUntil) + cost;
         if (end < bestEnd) {
             best = name;
@@ -75,21 +76,21 @@
     });
     if (!best.empty()) {
         this->callers[best].busyUntil = bestEnd;
-        ++this->callers[best].underWay;
+        ++this->callers[best].inFlight;
     }
     return {best, bestEnd};
 }
 
-void AdviceCallers::noteEnd(Timestamp now, const std::string &instance, Duration)
+void AdviceCallerPool::recordCompletion(Timestamp now, const std::string &instance, Duration)
 {
     Caller &caller = this->callers[instance];
-    caller.underWay = std::max(0, caller.underWay - 1);
-    if (caller.underWay == 0) {
+    caller.inFlight = std::max(0, caller.inFlight - 1);
+    if (caller.inFlight == 0) {
         caller.busyUntil = now;
     }
 }
 
-void AdviceCallers::noteFailure(Timestamp now, const std::string &instance)
+void AdviceCallerPool::recordFailure(Timestamp now, const std::string &instance)
 {
     this->callers[instance].avoidedUntil = now + avoidedAfterFailure;
 }
--- a/paddlepier/cluster/advicecallers.h
+++ b/paddlepier/cluster/advicecallerpool.h
@@ -5,8 +5,8 @@
 //
 // Thread safety: none; owned by the control thread. choose() is O(callers).
 
-#ifndef PADDLEPIER_CLUSTER_ADVICECALLERS_H
-#define PADDLEPIER_CLUSTER_ADVICECALLERS_H
+#ifndef PADDLEPIER_CLUSTER_ADVICECALLERPOOL_H
+#define PADDLEPIER_CLUSTER_ADVICECALLERPOOL_H
 
 #include "paddlepier/base/clock.h"
 
@@ -17,43 +17,43 @@
 namespace paddlepier::cluster
 {
 
-struct AdviceChoice {
+struct AssignedCaller {
     /** Empty if no caller is to be had. */
     std::string instance;
     /** When the answer is to be expected, the questions before it included. */
     Timestamp expectedAt;
 };
 
-class AdviceCallers
+class AdviceCallerPool
 {
 public:
     /** An instance has shown that it is there. */
-    void noteAlive(Timestamp now, const std::string &instance);
+    void markAlive(Timestamp now, const std::string &instance);
     /**
      * Caller on which a question of this cost ends first; its time is taken there. Empty if it would wait for long behind
      * others on each of them: a question that is answered too late only delays the next.
      */
-    AdviceChoice choose(Timestamp now, Duration cost);
+    AssignedCaller assignCaller(Timestamp now, Duration cost);
     /** Callers that would take a long question now. */
-    std::size_t freeForLong(Timestamp now) const;
+    std::size_t availableForLong(Timestamp now) const;
     /** Time of the policy service that short questions may take now, without waiting for long, over all callers together. */
-    Duration timeForShort(Timestamp now) const;
+    Duration timeAvailableForShort(Timestamp now) const;
     /** A question has ended, early or late: corrects the caller's expected time. */
-    void noteEnd(Timestamp now, const std::string &instance, Duration cost);
+    void recordCompletion(Timestamp now, const std::string &instance, Duration cost);
     /** A question wasn't answered: the caller gets no others for a while. */
-    void noteFailure(Timestamp now, const std::string &instance);
+    void recordFailure(Timestamp now, const std::string &instance);
 
 private:
     struct Caller {
-        Timestamp aliveAt;
+        Timestamp lastSeenAt;
         Timestamp busyUntil = absl::InfinitePast();
         Timestamp avoidedUntil = absl::InfinitePast();
-        int underWay = 0;
+        int inFlight = 0;
     };
 
     /** Calls @p visit(name, caller) for each that would take a question now. */
     template<typename Visit>
-    void visitFree(Timestamp now, bool isLong, Visit visit) const;
+    void forEachAvailable(Timestamp now, bool isLong, Visit visit) const;
 
     std::map<std::string, Caller> callers;
 };
--- a/paddlepier/cluster/announcementfault.cpp
+++ b/paddlepier/cluster/announcementfault.cpp
@@ -65,7 +65,7 @@
     require(call.sequence <= mostSequence, "sequence: over 2^53 - 1");
 }
 
-void noteRefusedAnnouncement(Counters &counters, const std::string &worker, AnnouncementFault fault, const std::string &problem)
+void reportRefusedAnnouncement(Counters &counters, const std::string &worker, AnnouncementFault fault, const std::string &problem)
 {
     counters.counter(absl::StrCat("announcements_refused_total{reason=\"", nameOf(fault), "\"}")).add();
     log::warning("workers",
--- a/paddlepier/cluster/announcementfault.h
+++ b/paddlepier/cluster/announcementfault.h
@@ -70,7 +70,7 @@
 void checkAnnouncement(const work::AnnounceCallT &call);
 
 /** Counts a refused announcement, and writes one line about it. */
-void noteRefusedAnnouncement(Counters &counters, const std::string &worker, AnnouncementFault fault, const std::string &problem);
+void reportRefusedAnnouncement(Counters &counters, const std::string &worker, AnnouncementFault fault, const std::string &problem);
 
 } // namespace paddlepier::cluster
 
--- a/paddlepier/cluster/authentication.cpp
+++ b/paddlepier/cluster/authentication.cpp
@@ -17,7 +17,7 @@
     return queue.isPublic ? std::optional<std::string>("") : std::nullopt;
 }
 
-bool maySee(const workload::Job &job, const work::QueueSpecT &queue, const std::string &team)
+bool canView(const workload::Job &job, const work::QueueSpecT &queue, const std::string &team)
 {
     return queue.isPublic || job.team().empty() || job.team() == team;
 }
--- a/paddlepier/cluster/authentication.h
+++ b/paddlepier/cluster/authentication.h
@@ -31,7 +31,7 @@
 std::optional<std::string> authenticate(const workload::Teams &teams, const work::QueueSpecT &queue, const std::string &key, CallerKeys keys);
 
 /** A job of a team is shown to that team alone, unless its queue is public. */
-bool maySee(const workload::Job &job, const work::QueueSpecT &queue, const std::string &team);
+bool canView(const workload::Job &job, const work::QueueSpecT &queue, const std::string &team);
 
 } // namespace paddlepier::cluster
 
--- a/paddlepier/cluster/authentication_test.cpp
+++ b/paddlepier/cluster/authentication_test.cpp
@@ -60,10 +60,10 @@
 
 TEST_CASE_METHOD(AuthenticationFixture, "job_ofATeam_isSeenByThatTeamAlone")
 {
-    CHECK(maySee(this->jobOf("red"), this->closed, "red"));
-    CHECK_FALSE(maySee(this->jobOf("red"), this->closed, "blue"));
-    CHECK(maySee(this->jobOf("red"), this->open, ""));
-    CHECK(maySee(this->jobOf(""), this->closed, "blue"));
+    CHECK(canView(this->jobOf("red"), this->closed, "red"));
+    CHECK_FALSE(canView(this->jobOf("red"), this->closed, "blue"));
+    CHECK(canView(this->jobOf("red"), this->open, ""));
+    CHECK(canView(this->jobOf(""), this->closed, "blue"));
 }
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/coreprocess.cpp
+++ b/paddlepier/cluster/coreprocess.cpp
@@ -3,7 +3,7 @@
 #include "paddlepier/cluster/coreprocess.h"
 
 #include "paddlepier/base/log.h"
-#include "paddlepier/cluster/carrycodec.h"
+#include "paddlepier/cluster/relaycodec.h"
 #include "paddlepier/wire/codec.h"
 
 #include <absl/strings/str_cat.h>
@@ -50,13 +50,13 @@
     options.name = "workload";
     options.folder = absl::StrCat(member.settings.dataFolder, "/workload");
     options.instance = member.settings.id;
-    options.founders = member.seeds;
-    options.mayForm = core.mayForm;
+    options.initialInstances = member.seeds;
+    options.mayBootstrap = core.mayForm;
     options.acceptsNewInstances = true;
-    options.admission.mostVoters = core.voters;
-    options.admission.silence = voterSilence;
-    options.heartbeat = heartbeatInterval;
-    options.election = electionSilence;
+    options.admission.maxVoters = core.voters;
+    options.admission.voterTimeout = voterSilence;
+    options.heartbeatInterval = heartbeatInterval;
+    options.electionTimeout = electionSilence;
     options.driftPerMille = member.settings.timing.driftPerMille;
     return options;
 }
@@ -69,9 +69,9 @@
     , workers(std::move(workerPort))
     , dispatchTimes(this->counters.histogram("control_dispatch"))
     , ledgerTimes(this->counters.histogram("control_ledger"))
-    , carrying(this->carryingWays())
-    , watch(this->watchWays())
-    , nextQuestion(randomSeed())
+    , orderRelay(this->relayHooks())
+    , watch(this->watchHooks())
+    , nextRequestId(randomSeed())
     , incarnation(randomSeed())
 {
     const auto send = [this](const std::string &instance, wire::PeerFrameT frame) { this->sendFrame(instance, std::move(frame)); };
@@ -104,16 +104,17 @@
                    {"dispatchMillis", absl::ToInt64Milliseconds(this->dispatchTimes.sum())},
                    {"ledgerMillis", absl::ToInt64Milliseconds(this->ledgerTimes.sum())}});
         this->service.reset();
-        this->carrying.forgetWatches();
+        this->orderRelay.abandonWatches();
     }
     if (leads && !this->service && this->node->isServing(now)) {
         this->serviceTerm = term;
         this->service = std::make_unique<WorkService>(
             *this->node,
             this->coreOptions.work,
-            WorkerPort{[this](const execution::WorkerCall &call, std::function<void(execution::WorkerAnswer)> done) { this->carry(call, std::move(done)); }},
+            WorkerPort{
+                [this](const execution::WorkerCall &call, std::function<void(execution::WorkerAnswer)> done) { this->sendOrder(call, std::move(done)); }},
             [this](const std::string &instance, const work::AdviceCallT &call, Timestamp deadline, std::function<void(execution::AdviceAnswer)> done) {
-                this->askThrough(instance, call, deadline, std::move(done));
+                this->requestAdviceVia(instance, call, deadline, std::move(done));
             },
             this->callers,
             this->counters,
@@ -130,8 +131,8 @@
         return;
     }
     this->nextLoadReport = now + loadReportInterval;
-    const LoadTimes whole{this->stepTimes.sum(), this->eventTimes.sum(), this->dispatchTimes.sum(), this->ledgerTimes.sum(), this->stepTimes.count()};
-    const LoadTimes &last = this->reportedLoad;
+    const ControlThreadTimes whole{this->stepTimes.sum(), this->eventTimes.sum(), this->dispatchTimes.sum(), this->ledgerTimes.sum(), this->stepTimes.count()};
+    const ControlThreadTimes &last = this->reportedLoad;
     log::info("cluster",
               "service.load",
               {{"steps", whole.stepCount - last.stepCount},
@@ -139,7 +140,7 @@
                {"eventMillis", absl::ToInt64Milliseconds(whole.events - last.events)},
                {"dispatchMillis", absl::ToInt64Milliseconds(whole.dispatch - last.dispatch)},
                {"ledgerMillis", absl::ToInt64Milliseconds(whole.ledger - last.ledger)},
-               {"asked", this->asked.size()}});
+               {"asked", this->pendingReplies.size()}});
     this->reportedLoad = whole;
 }
 
@@ -151,26 +152,26 @@
         for (const std::string &instance : this->node->knownInstances()) {
             this->leader->addCore(instance);
         }
-        this->endOverdue(seenUntil);
-        this->carrying.tick(seenUntil);
+        this->expireReplies(seenUntil);
+        this->orderRelay.tick(seenUntil);
     }
     const bool isServing = this->node->isServing(now);
     // A group that is still forming has nobody to hand over to.
-    if (this->servingWatch.note(now, this->node->replica().isLeader() && this->node->state().hasHistory(), isServing)) {
-        this->node->handOver(now);
+    if (this->servingWatchdog.update(now, this->node->replica().isLeader() && this->node->state().hasHistory(), isServing)) {
+        this->node->transferLeadership(now);
     }
     this->updateService(now);
     if (!this->service && now >= this->nextPresence && !this->isStopping()) {
-        this->showPresence(now);
+        this->sendPresence(now);
     }
     if (!this->heartbeats.isEmpty() && now >= this->nextHeartbeats) {
         this->nextHeartbeats = now + heartbeatsInterval;
         // What is lost on its way is made good by the worker's next announcement.
-        this->leader->call(now, WorkMethod::Heartbeats, wire::pack(this->heartbeats.take()), presencePatience, [](const CallResult &) {});
+        this->leader->call(now, WorkMethod::Heartbeats, wire::pack(this->heartbeats.drain()), presencePatience, [](const CallResult &) {});
     }
     // Without the lease another leader may be at work: nothing is ordered until it is certain again.
     if (this->service && this->node->isServing(now)) {
-        this->callers.noteAlive(now, this->options.settings.id);
+        this->callers.markAlive(now, this->options.settings.id);
         const ScopeTimer timer(this->dispatchTimes);
         this->service->step(now);
         this->reportLoad(now);
@@ -205,15 +206,15 @@
         throw UnknownRouteError(absl::StrCat("no call ", request.method));
     }
     if (*method == WorkMethod::Advise) {
-        this->adviseFor(fromInstance, request);
+        this->answerAdviceCall(fromInstance, request);
         return;
     }
     if (*method == WorkMethod::Carry) {
-        this->carryFor(fromInstance, request);
+        this->executeRelayedOrder(fromInstance, request);
         return;
     }
     if (*method == WorkMethod::Presence) {
-        this->noteCore(controlNow(), fromInstance, request);
+        this->recordCore(controlNow(), fromInstance, request);
     }
     this->handleAsLeader(controlNow(), fromInstance, *method, wire::toString(request.body), [this, fromInstance, id = request.id](const CallResult &result) {
         this->reply(fromInstance, id, result, this->node->leaderInstance());
@@ -234,7 +235,7 @@
         }
         return;
     }
-    if (this->absorbsHeartbeat(now, method, body)) {
+    if (this->absorbHeartbeat(now, method, body)) {
         CallResult result;
         result.reply.outcome = work::CallOutcome::Accepted;
         done(result);
@@ -243,7 +244,7 @@
     this->leader->call(now, method, std::move(body), patience, std::move(done));
 }
 
-bool CoreProcess::absorbsHeartbeat(Timestamp now, WorkMethod method, const std::string &body)
+bool CoreProcess::absorbHeartbeat(Timestamp now, WorkMethod method, const std::string &body)
 {
     if (method != WorkMethod::Announce || this->service || this->isStopping() || now - this->leader->lastAnswerAt() > leaderHeardWithin) {
         return false;
@@ -253,22 +254,22 @@
 
 std::uint64_t CoreProcess::expectReply(Timestamp deadline, std::function<void(const wire::CallReplyT *)> done)
 {
-    const std::uint64_t id = this->nextQuestion++;
-    this->asked[id] = std::move(done);
-    this->dueReplies.set(id, deadline);
+    const std::uint64_t id = this->nextRequestId++;
+    this->pendingReplies[id] = std::move(done);
+    this->replyTimers.schedule(id, deadline);
     return id;
 }
 
-void CoreProcess::endOverdue(Timestamp seenUntil)
+void CoreProcess::expireReplies(Timestamp seenUntil)
 {
-    while (const std::optional<std::uint64_t> id = this->dueReplies.take(seenUntil)) {
-        if (const auto question = this->asked.extract(*id)) {
+    while (const std::optional<std::uint64_t> id = this->replyTimers.popExpired(seenUntil)) {
+        if (const auto question = this->pendingReplies.extract(*id)) {
             question.mapped()(nullptr);
         }
     }
 }
 
-void CoreProcess::askInstance(
+void CoreProcess::callInstance(
     const std::string &instance, WorkMethod method, const std::string &body, Timestamp deadline, std::function<void(const wire::CallReplyT *)> done)
 {
     wire::CallRequestT request;
@@ -285,52 +286,56 @@
     this->sendFrame(instance, std::move(frame));
 }
 
-void CoreProcess::askThrough(const std::string &instance, const work::AdviceCallT &call, Timestamp deadline, std::function<void(execution::AdviceAnswer)> done)
+void CoreProcess::requestAdviceVia(const std::string &instance,
+                                   const work::AdviceCallT &call,
+                                   Timestamp deadline,
+                                   std::function<void(execution::AdviceAnswer)> done)
 {
-    this->askInstance(instance, WorkMethod::Advise, wire::pack(call), deadline, [done = std::move(done)](const wire::CallReplyT *reply) {
+    this->callInstance(instance, WorkMethod::Advise, wire::pack(call), deadline, [done = std::move(done)](const wire::CallReplyT *reply) {
         execution::AdviceAnswer answer;
         answer.isAnswered = reply != nullptr && reply->error == ErrorCode::None;
         if (answer.isAnswered) {
             for (const auto &ticket : wire::unpack<work::AdviceReplyT>(reply->body).good) {
-                answer.good.push_back(*ticket);
+                answer.tickets.push_back(*ticket);
             }
         }
         done(answer);
     });
 }
 
-void CoreProcess::carry(const execution::WorkerCall &call, std::function<void(execution::WorkerAnswer)> done)
+void CoreProcess::sendOrder(const execution::WorkerCall &call, std::function<void(execution::WorkerAnswer)> done)
 {
     const workload::Workload &state = this->node->state();
     const workload::Worker *worker = state.findWorker(call.worker);
-    this->carrying.carry({worker == nullptr ? 0 : state.workers().size(), worker == nullptr ? "" : worker->registration.zone}, call, std::move(done));
+    this->orderRelay.send({worker == nullptr ? 0 : state.workers().size(), worker == nullptr ? "" : worker->registration.zone}, call, std::move(done));
 }
 
-CarryingWays CoreProcess::carryingWays()
+RelayHooks CoreProcess::relayHooks()
 {
-    CarryingWays ways;
-    ways.direct = [this](const execution::WorkerCall &call, const OrderCarrying::Done &done) {
+    RelayHooks ways;
+    ways.sendDirect = [this](const execution::WorkerCall &call, const OrderRelay::Done &done) {
         this->workers.call(call, [this, done](const execution::WorkerAnswer &answer) { this->post([done, answer] { done(answer); }); });
     };
-    ways.through =
-        [this](const std::string &instance, const execution::WorkerCall &call, Timestamp deadline, const std::function<void(const Carried &)> &done) {
-            this->askInstance(instance, WorkMethod::Carry, wire::pack(toCarryCall(call)), deadline, [done](const wire::CallReplyT *reply) {
-                Carried carried;
+    ways.sendVia =
+        [this](const std::string &instance, const execution::WorkerCall &call, Timestamp deadline, const std::function<void(const RelayResult &)> &done) {
+            this->callInstance(instance, WorkMethod::Carry, wire::pack(encodeRelayCall(call)), deadline, [done](const wire::CallReplyT *reply) {
+                RelayResult carried;
                 if (reply != nullptr && reply->error == ErrorCode::NotLeader) {
-                    carried.outcome = CarriedOutcome::Declined;
+                    carried.outcome = RelayOutcome::Declined;
                 } else if (reply != nullptr) {
-                    carried.outcome = CarriedOutcome::Answered;
-                    carried.answer = reply->error == ErrorCode::None ? fromCarryReply(wire::unpack<work::CarryReplyT>(reply->body)) : execution::WorkerAnswer();
+                    carried.outcome = RelayOutcome::Answered;
+                    carried.answer =
+                        reply->error == ErrorCode::None ? decodeRelayReply(wire::unpack<work::CarryReplyT>(reply->body)) : execution::WorkerAnswer();
                 }
                 done(carried);
             });
         };
-    ways.later = [this](Timestamp at, const std::function<void()> &action) { this->expectReply(at, [action](const wire::CallReplyT *) { action(); }); };
+    ways.runAt = [this](Timestamp at, const std::function<void()> &action) { this->expectReply(at, [action](const wire::CallReplyT *) { action(); }); };
     ways.now = [] { return controlNow(); };
     return ways;
 }
 
-void CoreProcess::carryFor(const std::string &fromInstance, const wire::CallRequestT &request)
+void CoreProcess::executeRelayedOrder(const std::string &fromInstance, const wire::CallRequestT &request)
 {
     if (this->isStopping()) {
         CallResult refusal;
@@ -338,13 +343,13 @@
         this->reply(fromInstance, request.id, refusal, "");
         return;
     }
-    const execution::WorkerCall call = fromCarryCall(wire::unpack<work::CarryCallT>(request.body));
-    ++this->carriedCalls;
+    const execution::WorkerCall call = decodeRelayCall(wire::unpack<work::CarryCallT>(request.body));
+    ++this->relayedCalls;
     const auto reply = [this, fromInstance, id = request.id](const execution::WorkerAnswer &received) {
-        --this->carriedCalls;
+        --this->relayedCalls;
         wire::CallReplyT answer;
         answer.id = id;
-        answer.body = wire::toBytes(wire::pack(toCarryReply(received)));
+        answer.body = wire::toBytes(wire::pack(encodeRelayReply(received)));
         this->sendReply(fromInstance, std::move(answer));
     };
     if (std::holds_alternative<execution::PollOrder>(call.order)) {
@@ -354,10 +359,10 @@
     this->workers.call(call, [this, reply](const execution::WorkerAnswer &received) { this->post([reply, received] { reply(received); }); });
 }
 
-WatchWays CoreProcess::watchWays()
+WatchHooks CoreProcess::watchHooks()
 {
-    WatchWays ways;
-    ways.call = [this](const execution::WorkerCall &call, const WatchWays::Answered &done) {
+    WatchHooks ways;
+    ways.call = [this](const execution::WorkerCall &call, const WatchHooks::Answered &done) {
         this->workers.call(
             call, [this, done](const execution::WorkerAnswer &answer) { this->post([done, answer, answeredAt = controlNow()] { done(answeredAt, answer); }); });
     };
@@ -366,18 +371,18 @@
     return ways;
 }
 
-void CoreProcess::noteCore(Timestamp now, const std::string &instance, const wire::CallRequestT &request)
+void CoreProcess::recordCore(Timestamp now, const std::string &instance, const wire::CallRequestT &request)
 {
     const std::vector<std::string> cores = this->node->knownInstances();
     // It may have shown itself to itself before it led.
     if (instance != this->options.settings.id && std::find(cores.begin(), cores.end(), instance) != cores.end()) {
         const auto call = wire::unpack<work::PresenceCallT>(wire::toString(request.body));
         this->dataCentres[instance] = call.zone;
-        this->carrying.noteAlive(now, instance, call.zone, call.incarnation);
+        this->orderRelay.markAlive(now, instance, call.zone, call.incarnation);
     }
 }
 
-void CoreProcess::showPresence(Timestamp now)
+void CoreProcess::sendPresence(Timestamp now)
 {
     this->nextPresence = now + presenceInterval;
     work::PresenceCallT call;
@@ -388,13 +393,13 @@
 
 void CoreProcess::receiveReply(const std::string &fromInstance, const wire::CallReplyT &reply)
 {
-    const auto found = this->asked.find(reply.id);
-    if (found == this->asked.end()) {
+    const auto found = this->pendingReplies.find(reply.id);
+    if (found == this->pendingReplies.end()) {
         MemberProcess::receiveReply(fromInstance, reply);
         return;
     }
     const auto done = std::move(found->second);
-    this->asked.erase(found);
+    this->pendingReplies.erase(found);
     try {
         done(&reply);
     } catch (const Error &error) {
@@ -404,13 +409,13 @@
     }
 }
 
-void CoreProcess::stopAsPlanned()
+void CoreProcess::stopGracefully()
 {
     const Timestamp end = controlNow() + stopPatience;
-    this->node->handOver(controlNow());
+    this->node->transferLeadership(controlNow());
     const auto isOver = [this] {
         const bool hasOtherLeader = !this->node->replica().isLeader() && !this->node->replica().leader().empty();
-        return hasOtherLeader && this->leader->pendingCalls() == 0 && this->carriedCalls == 0;
+        return hasOtherLeader && this->leader->pendingCalls() == 0 && this->relayedCalls == 0;
     };
     while (controlNow() < end && !isOver()) {
         this->step(tickInterval);
--- a/paddlepier/cluster/coreprocess.h
+++ b/paddlepier/cluster/coreprocess.h
@@ -5,13 +5,13 @@
 #ifndef PADDLEPIER_CLUSTER_COREPROCESS_H
 #define PADDLEPIER_CLUSTER_COREPROCESS_H
 
-#include "paddlepier/cluster/heartbeatrelay.h"
+#include "paddlepier/cluster/heartbeatbatcher.h"
 #include "paddlepier/cluster/memberprocess.h"
-#include "paddlepier/cluster/ordercarrying.h"
-#include "paddlepier/cluster/servingwatch.h"
+#include "paddlepier/cluster/orderrelay.h"
+#include "paddlepier/cluster/servingwatchdog.h"
 #include "paddlepier/cluster/workerwatch.h"
 #include "paddlepier/cluster/workservice.h"
-#include "paddlepier/execution/duequeue.h"
+#include "paddlepier/execution/timerqueue.h"
 #include "paddlepier/replication/diskwriter.h"
 
 #include <cstdint>
@@ -33,7 +33,7 @@
 };
 
 /** Sums of what the control thread has spent its time on, and how many steps and events that were. */
-struct LoadTimes {
+struct ControlThreadTimes {
     Duration steps;
     Duration events;
     Duration dispatch;
@@ -54,7 +54,7 @@
     void receiveReply(const std::string &fromInstance, const wire::CallReplyT &answer) override;
     void receiveFrame(wire::PeerFrameT frame) override;
     void callLeader(Timestamp now, WorkMethod method, std::string body, Duration patience, CallDone done) override;
-    void stopAsPlanned() override;
+    void stopGracefully() override;
 
 private:
     void updateService(Timestamp now);
@@ -62,25 +62,25 @@
     void reportLoad(Timestamp now);
     void handleAsLeader(Timestamp now, const std::string &fromInstance, WorkMethod method, const std::string &body, const CallDone &done);
     /** Shows a core that doesn't lead to the leader: it may ask for advice and carry orders. */
-    void showPresence(Timestamp now);
+    void sendPresence(Timestamp now);
     /** An announcement that tells nothing new may be answered here. */
-    bool absorbsHeartbeat(Timestamp now, WorkMethod method, const std::string &body);
+    bool absorbHeartbeat(Timestamp now, WorkMethod method, const std::string &body);
     /** A core has shown itself to this one, which may lead. */
-    void noteCore(Timestamp now, const std::string &instance, const wire::CallRequestT &request);
+    void recordCore(Timestamp now, const std::string &instance, const wire::CallRequestT &request);
     /** Brings an order to its worker, by itself or through another core. */
-    void carry(const execution::WorkerCall &call, std::function<void(execution::WorkerAnswer)> done);
-    CarryingWays carryingWays();
-    WatchWays watchWays();
+    void sendOrder(const execution::WorkerCall &call, std::function<void(execution::WorkerAnswer)> done);
+    RelayHooks relayHooks();
+    WatchHooks watchHooks();
     /** Carries an order of the leader out. */
-    void carryFor(const std::string &fromInstance, const wire::CallRequestT &request);
+    void executeRelayedOrder(const std::string &fromInstance, const wire::CallRequestT &request);
     /** Ends requests whose replies were due by @p seenUntil. */
-    void endOverdue(Timestamp seenUntil);
+    void expireReplies(Timestamp seenUntil);
     /** @return the id of a request whose reply, or none by @p deadline, is given to @p done */
     std::uint64_t expectReply(Timestamp deadline, std::function<void(const wire::CallReplyT *)> done);
     /** Sends a request to an instance, this one included; @p done is called once, with nothing if no answer came by @p deadline. */
-    void askInstance(
+    void callInstance(
         const std::string &instance, WorkMethod method, const std::string &body, Timestamp deadline, std::function<void(const wire::CallReplyT *)> done);
-    void askThrough(const std::string &instance, const work::AdviceCallT &call, Timestamp deadline, std::function<void(execution::AdviceAnswer)> done);
+    void requestAdviceVia(const std::string &instance, const work::AdviceCallT &call, Timestamp deadline, std::function<void(execution::AdviceAnswer)> done);
 
     const CoreOptions coreOptions;
     const WorkerPort workers;
@@ -90,25 +90,25 @@
     std::unique_ptr<WorkloadNode> node;
     std::unique_ptr<WorkService> service;
     consensus::Term serviceTerm = 0;
-    AdviceCallers callers;
-    OrderCarrying carrying;
+    AdviceCallerPool callers;
+    OrderRelay orderRelay;
     /** Data centres of the core instances that have shown themselves, and of this one. */
     std::map<std::string, std::string> dataCentres;
-    ServingWatch servingWatch;
-    HeartbeatRelay heartbeats;
+    ServingWatchdog servingWatchdog;
+    HeartbeatBatcher heartbeats;
     Timestamp nextHeartbeats = absl::InfinitePast();
     Timestamp nextPresence = absl::InfinitePast();
     /** Orders of the leader that this core is carrying out. */
-    std::size_t carriedCalls = 0;
+    std::size_t relayedCalls = 0;
     WorkerWatch watch;
-    std::unordered_map<std::uint64_t, std::function<void(const wire::CallReplyT *)>> asked;
+    std::unordered_map<std::uint64_t, std::function<void(const wire::CallReplyT *)>> pendingReplies;
     /** When replies are due; what has been answered is in it until then. */
-    execution::DueQueue<std::uint64_t> dueReplies;
-    std::uint64_t nextQuestion;
+    execution::TimerQueue<std::uint64_t> replyTimers;
+    std::uint64_t nextRequestId;
     const std::uint64_t incarnation;
     Timestamp nextTick = absl::InfinitePast();
     Timestamp nextLoadReport = absl::InfinitePast();
-    LoadTimes reportedLoad;
+    ControlThreadTimes reportedLoad;
 };
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/entryprocess.cpp
+++ b/paddlepier/cluster/entryprocess.cpp
@@ -44,8 +44,8 @@
 void EntryProcess::advance(Timestamp now, Timestamp)
 {
     // A stopping instance isn't given new work by the leader.
-    if (now >= this->nextPresence && !this->presenceUnderWay && !this->isStopping()) {
-        this->showPresence(now);
+    if (now >= this->nextPresence && !this->isPresencePending && !this->isStopping()) {
+        this->sendPresence(now);
     }
     const bool hasLeader = now - this->leader->lastAnswerAt() < leaderSilence;
     if (hasLeader != this->ready) {
@@ -54,14 +54,14 @@
     }
 }
 
-void EntryProcess::showPresence(Timestamp now)
+void EntryProcess::sendPresence(Timestamp now)
 {
     this->nextPresence = now + presenceInterval;
-    this->presenceUnderWay = true;
+    this->isPresencePending = true;
     work::PresenceCallT call;
     call.zone = this->options.zone;
     this->leader->call(now, WorkMethod::Presence, wire::pack(call), presencePatience, [this](const CallResult &result) {
-        this->presenceUnderWay = false;
+        this->isPresencePending = false;
         for (const std::string &instance : result.reply.coreInstances) {
             this->leader->addCore(instance);
         }
@@ -71,7 +71,7 @@
 void EntryProcess::receiveCall(const std::string &fromInstance, const wire::CallRequestT &request)
 {
     if (workMethodFromName(request.method) == WorkMethod::Advise) {
-        this->adviseFor(fromInstance, request);
+        this->answerAdviceCall(fromInstance, request);
         return;
     }
     CallResult result;
@@ -83,11 +83,11 @@
 {
 }
 
-void EntryProcess::stopAsPlanned()
+void EntryProcess::stopGracefully()
 {
     const Timestamp lead = controlNow() + stopLead;
     const Timestamp end = lead + stopPatience;
-    while (controlNow() < lead || (controlNow() < end && this->leader->pendingCalls() > (this->presenceUnderWay ? 1U : 0U))) {
+    while (controlNow() < lead || (controlNow() < end && this->leader->pendingCalls() > (this->isPresencePending ? 1U : 0U))) {
         this->step(stopTick);
     }
     log::info("cluster", "stopped", {{"instance", this->options.settings.id}, {"calls", this->leader->pendingCalls()}});
--- a/paddlepier/cluster/entryprocess.h
+++ b/paddlepier/cluster/entryprocess.h
@@ -22,13 +22,13 @@
     void advance(Timestamp now, Timestamp seenUntil) override;
     void receiveCall(const std::string &fromInstance, const wire::CallRequestT &request) override;
     void receiveFrame(wire::PeerFrameT frame) override;
-    void stopAsPlanned() override;
+    void stopGracefully() override;
 
 private:
-    void showPresence(Timestamp now);
+    void sendPresence(Timestamp now);
 
     Timestamp nextPresence = absl::InfinitePast();
-    bool presenceUnderWay = false;
+    bool isPresencePending = false;
 };
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/heartbeatrelay.cpp
+++ b/paddlepier/cluster/heartbeatbatcher.cpp
@@ -1,6 +1,6 @@
 // Answers announcements of workers that tell nothing new on replicas that don't lead.
 
-#include "paddlepier/cluster/heartbeatrelay.h"
+#include "paddlepier/cluster/heartbeatbatcher.h"
 
 #include <algorithm>
 #include <memory>
@@ -9,26 +9,26 @@
 namespace paddlepier::cluster
 {
 
-bool HeartbeatRelay::absorb(const workload::Workload &state, const work::AnnounceCallT &call)
+bool HeartbeatBatcher::absorb(const workload::Workload &state, const work::AnnounceCallT &call)
 {
     const work::RegisterWorkerT &registration = *call.registration;
     const workload::Worker *known = state.findLatestWorker(registration.id);
-    const bool isHeld = known != nullptr && workload::lifeOf(known->registration) == workload::lifeOf(registration)
+    const bool isHeld = known != nullptr && workload::incarnationOf(known->registration) == workload::incarnationOf(registration)
                         && workload::isSameRegistration(known->registration, registration);
     if (!isHeld || registration.isDraining || call.sequence < known->registration.sequence) {
         return false;
     }
-    std::uint64_t &newest = this->sequences[workload::lifeOf(registration)];
+    std::uint64_t &newest = this->sequences[workload::incarnationOf(registration)];
     newest = std::max(newest, call.sequence);
     return true;
 }
 
-bool HeartbeatRelay::isEmpty() const
+bool HeartbeatBatcher::isEmpty() const
 {
     return this->sequences.empty();
 }
 
-work::HeartbeatsCallT HeartbeatRelay::take()
+work::HeartbeatsCallT HeartbeatBatcher::drain()
 {
     work::HeartbeatsCallT call;
     for (const auto &[life, sequence] : std::exchange(this->sequences, {})) {
--- a/paddlepier/cluster/heartbeatrelay.h
+++ b/paddlepier/cluster/heartbeatbatcher.h
@@ -13,8 +13,8 @@
 //
 // Thread safety: none; owned by the control thread. Cost: O(log workers) an announcement.
 
-#ifndef PADDLEPIER_CLUSTER_HEARTBEATRELAY_H
-#define PADDLEPIER_CLUSTER_HEARTBEATRELAY_H
+#ifndef PADDLEPIER_CLUSTER_HEARTBEATBATCHER_H
+#define PADDLEPIER_CLUSTER_HEARTBEATBATCHER_H
 
 #include "paddlepier/wire/workload_generated.h"
 #include "paddlepier/workload/workload.h"
@@ -25,17 +25,17 @@
 namespace paddlepier::cluster
 {
 
-class HeartbeatRelay
+class HeartbeatBatcher
 {
 public:
     /** @return true if the announcement tells nothing new; the leader is to be told of it with the next batch */
     bool absorb(const workload::Workload &state, const work::AnnounceCallT &call);
     bool isEmpty() const;
     /** The newest of each life since the last call. */
-    work::HeartbeatsCallT take();
+    work::HeartbeatsCallT drain();
 
 private:
-    std::map<workload::Life, std::uint64_t> sequences;
+    std::map<workload::Incarnation, std::uint64_t> sequences;
 };
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/heartbeatrelay_test.cpp
+++ b/paddlepier/cluster/heartbeatbatcher_test.cpp
@@ -1,6 +1,6 @@
 // Which announcements a replica that doesn't lead may answer.
 
-#include "paddlepier/cluster/heartbeatrelay.h"
+#include "paddlepier/cluster/heartbeatbatcher.h"
 #include "paddlepier/workload/applycommand.h"
 
 #include <catch2/catch.hpp>
@@ -46,7 +46,7 @@
     }
 
     workload::Workload state;
-    HeartbeatRelay relay;
+    HeartbeatBatcher relay;
 };
 
 } // namespace
@@ -58,7 +58,7 @@
     CHECK(this->absorbs(6, nothing));
     CHECK(this->absorbs(8, nothing));
     CHECK(this->absorbs(7, nothing));
-    const work::HeartbeatsCallT call = this->relay.take();
+    const work::HeartbeatsCallT call = this->relay.drain();
     REQUIRE(call.heartbeats.size() == 1);
     CHECK(call.heartbeats[0]->worker == "w");
     CHECK(call.heartbeats[0]->born == 700);
--- a/paddlepier/cluster/leaderclient.cpp
+++ b/paddlepier/cluster/leaderclient.cpp
@@ -41,18 +41,18 @@
 
 Timestamp LeaderClient::lastAnswerAt() const
 {
-    return this->answeredAt;
+    return this->lastAnsweredAt;
 }
 
 std::size_t LeaderClient::pendingCalls() const
 {
-    return this->pendings.size();
+    return this->pending.size();
 }
 
 void LeaderClient::call(Timestamp now, WorkMethod method, std::string body, Duration patience, CallDone done)
 {
     const std::uint64_t id = this->nextId++;
-    Pending &pending = this->pendings[id];
+    PendingCall &pending = this->pending[id];
     pending.method = method;
     pending.body = std::move(body);
     pending.done = std::move(done);
@@ -68,9 +68,9 @@
     return this->coreInstances.empty() ? "" : this->coreInstances[this->nextCore++ % this->coreInstances.size()];
 }
 
-void LeaderClient::attempt(Timestamp now, std::uint64_t id, Pending &pending)
+void LeaderClient::attempt(Timestamp now, std::uint64_t id, PendingCall &pending)
 {
-    pending.nextTry = now + answerPatience;
+    pending.nextAttemptAt = now + answerPatience;
     if (pending.method == WorkMethod::Presence && this->leader.empty()) {
         // Looking for the leader: whoever leads answers, however many of the others are gone.
         pending.target.clear();
@@ -85,9 +85,9 @@
     }
 }
 
-void LeaderClient::sendTo(const std::string &instance, std::uint64_t id, Pending &pending)
+void LeaderClient::sendTo(const std::string &instance, std::uint64_t id, PendingCall &pending)
 {
-    ++pending.unanswered;
+    ++pending.unresolvedAttempts;
     wire::CallRequestT request;
     request.id = id;
     request.method = nameOf(pending.method);
@@ -102,35 +102,35 @@
     const std::string before = this->leader;
     if (reply.error == ErrorCode::None) {
         this->leader = fromInstance;
-        this->answeredAt = now;
+        this->lastAnsweredAt = now;
     } else if (this->leader == fromInstance || this->leader.empty()) {
         this->leader = reply.leader == fromInstance ? "" : reply.leader;
     }
     if (!this->leader.empty() && this->leader != before) {
-        this->sendToNewLeader(now);
+        this->retryAtNewLeader(now);
     }
-    const auto found = this->pendings.find(reply.id);
-    if (found == this->pendings.end()) {
+    const auto found = this->pending.find(reply.id);
+    if (found == this->pending.end()) {
         return;
     }
-    Pending &pending = found->second;
+    PendingCall &pending = found->second;
     if (reply.error == ErrorCode::None) {
         CallResult result;
         result.reply = wire::unpack<work::WorkReplyT>(reply.body);
-        this->end(reply.id, result);
+        this->complete(reply.id, result);
         return;
     }
     if (reply.error == ErrorCode::NotLeader) {
-        pending.unanswered -= std::min<std::uint32_t>(pending.unanswered, 1);
+        pending.unresolvedAttempts -= std::min<std::uint32_t>(pending.unresolvedAttempts, 1);
     }
-    pending.nextTry = this->leader.empty() || this->leader == pending.target ? now + noLeaderPause : now;
+    pending.nextAttemptAt = this->leader.empty() || this->leader == pending.target ? now + noLeaderPause : now;
 }
 
-void LeaderClient::sendToNewLeader(Timestamp now)
+void LeaderClient::retryAtNewLeader(Timestamp now)
 {
-    for (auto &[id, pending] : this->pendings) {
+    for (auto &[id, pending] : this->pending) {
         if (pending.target != this->leader) {
-            pending.nextTry = now;
+            pending.nextAttemptAt = now;
         }
     }
 }
@@ -138,12 +138,12 @@
 void LeaderClient::tick(Timestamp now)
 {
     std::vector<std::uint64_t> late;
-    for (auto &[id, pending] : this->pendings) {
+    for (auto &[id, pending] : this->pending) {
         if (pending.deadline <= now) {
             late.push_back(id);
-        } else if (pending.nextTry <= now) {
+        } else if (pending.nextAttemptAt <= now) {
             // One late answer is no proof while others come: a commit may wait for a slow disk.
-            if (pending.target == this->leader && pending.unanswered > 0 && now - this->answeredAt >= answerPatience) {
+            if (pending.target == this->leader && pending.unresolvedAttempts > 0 && now - this->lastAnsweredAt >= answerPatience) {
                 this->leader.clear();
             }
             this->attempt(now, id, pending);
@@ -151,16 +151,16 @@
     }
     for (const std::uint64_t id : late) {
         CallResult result;
-        result.error = this->pendings.at(id).unanswered > 0 ? ErrorCode::Timeout : ErrorCode::NotLeader;
-        this->end(id, result);
+        result.error = this->pending.at(id).unresolvedAttempts > 0 ? ErrorCode::Timeout : ErrorCode::NotLeader;
+        this->complete(id, result);
     }
 }
 
-void LeaderClient::end(std::uint64_t id, const CallResult &result)
+void LeaderClient::complete(std::uint64_t id, const CallResult &result)
 {
-    const auto found = this->pendings.find(id);
+    const auto found = this->pending.find(id);
     const CallDone done = std::move(found->second.done);
-    this->pendings.erase(found);
+    this->pending.erase(found);
     done(result);
 }
 
--- a/paddlepier/cluster/leaderclient.h
+++ b/paddlepier/cluster/leaderclient.h
@@ -49,31 +49,31 @@
     std::size_t pendingCalls() const;
 
 private:
-    struct Pending {
+    struct PendingCall {
         WorkMethod method = WorkMethod::Job;
         std::string body;
         CallDone done;
         Timestamp deadline;
-        Timestamp nextTry;
+        Timestamp nextAttemptAt;
         /** Who was asked last; empty if nobody was, or all were. */
         std::string target;
         /** Attempts whose fate isn't known. */
-        std::uint32_t unanswered = 0;
+        std::uint32_t unresolvedAttempts = 0;
     };
 
-    void attempt(Timestamp now, std::uint64_t id, Pending &pending);
-    void sendTo(const std::string &instance, std::uint64_t id, Pending &pending);
+    void attempt(Timestamp now, std::uint64_t id, PendingCall &pending);
+    void sendTo(const std::string &instance, std::uint64_t id, PendingCall &pending);
     /** Calls that wait for an answer of others needn't: in an outage's last moments callers' time budgets are nearly over. */
-    void sendToNewLeader(Timestamp now);
+    void retryAtNewLeader(Timestamp now);
     std::string nextTarget();
-    void end(std::uint64_t id, const CallResult &result);
+    void complete(std::uint64_t id, const CallResult &result);
 
     const Send send;
     std::vector<std::string> coreInstances;
     std::size_t nextCore = 0;
     std::string leader;
-    Timestamp answeredAt = absl::InfinitePast();
-    std::map<std::uint64_t, Pending> pendings;
+    Timestamp lastAnsweredAt = absl::InfinitePast();
+    std::map<std::uint64_t, PendingCall> pending;
     std::uint64_t nextId;
 };
 
--- a/paddlepier/cluster/memberprocess.cpp
+++ b/paddlepier/cluster/memberprocess.cpp
@@ -109,13 +109,13 @@
     this->sendFrame(instance, std::move(frame));
 }
 
-void MemberProcess::adviseFor(const std::string &instance, const wire::CallRequestT &request)
+void MemberProcess::answerAdviceCall(const std::string &instance, const wire::CallRequestT &request)
 {
     const auto question = wire::unpack<work::AdviceCallT>(request.body);
-    this->advice.ask(question, [this, instance, id = request.id](const execution::AdviceAnswer &received) {
+    this->advice.request(question, [this, instance, id = request.id](const execution::AdviceAnswer &received) {
         this->post([this, instance, id, received] {
             work::AdviceReplyT reply;
-            for (const work::AdviceTicketT &ticket : received.good) {
+            for (const work::AdviceTicketT &ticket : received.tickets) {
                 reply.good.push_back(std::make_unique<work::AdviceTicketT>(ticket));
             }
             wire::CallReplyT answer;
@@ -184,16 +184,16 @@
         this->step(tickInterval);
     }
     log::info("cluster", "stopping", {{"instance", this->options.settings.id}});
-    this->stopAsPlanned();
+    this->stopGracefully();
 }
 
 void MemberProcess::step(Duration patience)
 {
     const Timestamp waitsSince = controlNow();
-    const std::vector<Mailbox::Work> batch = this->mailbox.take(patience);
+    const std::vector<Mailbox::Work> batch = this->mailbox.drain(patience);
     // What has come by now is in the batch; what comes while it is handled isn't, and mustn't count as missing.
     const Timestamp takenAt = controlNow();
-    this->suspension.look();
+    this->suspension.check();
     if (takenAt - waitsSince > patience + slowStep) {
         log::warning("cluster", "control.late", {{"millis", absl::ToInt64Milliseconds(takenAt - waitsSince)}, {"events", batch.size()}});
     }
--- a/paddlepier/cluster/memberprocess.h
+++ b/paddlepier/cluster/memberprocess.h
@@ -71,7 +71,7 @@
     /** Frames that are no calls. */
     virtual void receiveFrame(wire::PeerFrameT frame) = 0;
     virtual void callLeader(Timestamp now, WorkMethod method, std::string body, Duration patience, CallDone done);
-    virtual void stopAsPlanned() = 0;
+    virtual void stopGracefully() = 0;
 
     void step(Duration patience);
     void post(std::function<void()> work);
@@ -79,7 +79,7 @@
     void sendReply(const std::string &instance, wire::CallReplyT answer);
     void reply(const std::string &instance, std::uint64_t id, const CallResult &result, const std::string &leaderHint);
     /** Answers a question to the policy service for another instance. */
-    void adviseFor(const std::string &instance, const wire::CallRequestT &request);
+    void answerAdviceCall(const std::string &instance, const wire::CallRequestT &request);
     void stopTransport();
 
     const MemberOptions options;
@@ -89,7 +89,7 @@
     /** What the control thread spends its time on: a whole step, and the events of its batch. */
     Histogram &stepTimes;
     Histogram &eventTimes;
-    SuspensionReport suspension;
+    SuspensionReporter suspension;
     std::unique_ptr<LeaderClient> leader;
     std::atomic<bool> ready{false};
     std::atomic<bool> stopRequested{false};
--- a/paddlepier/cluster/ordercarrying.cpp
+++ b/paddlepier/cluster/orderrelay.cpp
@@ -1,6 +1,6 @@
 // Brings orders to workers, by the leader itself or through another core instance.
 
-#include "paddlepier/cluster/ordercarrying.h"
+#include "paddlepier/cluster/orderrelay.h"
 
 #include "paddlepier/base/log.h"
 
@@ -67,24 +67,24 @@
 
 } // namespace
 
-OrderCarrying::OrderCarrying(CarryingWays carryingWays)
-    : ways(std::move(carryingWays))
+OrderRelay::OrderRelay(RelayHooks carryingWays)
+    : hooks(std::move(carryingWays))
 {
 }
 
-void OrderCarrying::noteAlive(Timestamp now, const std::string &instance, const std::string &dataCentre, std::uint64_t incarnation)
+void OrderRelay::markAlive(Timestamp now, const std::string &instance, const std::string &dataCentre, std::uint64_t incarnation)
 {
-    if (!this->carriers.noteAlive(now, instance, dataCentre, incarnation)) {
+    if (!this->relays.markAlive(now, instance, dataCentre, incarnation)) {
         this->endWatchesOf(instance);
     }
 }
 
-void OrderCarrying::tick(Timestamp seenUntil)
+void OrderRelay::tick(Timestamp seenUntil)
 {
     if (seenUntil < this->nextWatchEnd) {
         return;
     }
-    const auto isLost = [this, seenUntil](const auto &entry) { return !entry.second.empty() && !this->carriers.isAlive(seenUntil, entry.first); };
+    const auto isLost = [this, seenUntil](const auto &entry) { return !entry.second.empty() && !this->relays.isAlive(seenUntil, entry.first); };
     const auto lost = std::find_if(this->watches.begin(), this->watches.end(), isLost);
     if (lost != this->watches.end()) {
         this->nextWatchEnd = seenUntil + watchEndInterval;
@@ -92,121 +92,121 @@
     }
 }
 
-void OrderCarrying::forgetWatches()
+void OrderRelay::abandonWatches()
 {
     this->watches.clear();
 }
 
-void OrderCarrying::endWatchesOf(const std::string &carrier)
+void OrderRelay::endWatchesOf(const std::string &carrier)
 {
     const auto found = this->watches.find(carrier);
     if (found == this->watches.end()) {
         return;
     }
-    const std::set<Pending> ended = std::move(found->second);
+    const std::set<OrderPtr> ended = std::move(found->second);
     this->watches.erase(found);
     log::info("cluster", "watches.lost", {{"instance", carrier}, {"workers", ended.size()}});
-    for (const Pending &pending : ended) {
-        this->close(pending, pending->first, {});
+    for (const OrderPtr &pending : ended) {
+        this->completeAttempt(pending, pending->primary, {});
     }
 }
 
-void OrderCarrying::carry(const CarryingPlace &place, const execution::WorkerCall &call, const Done &done)
+void OrderRelay::send(const RelayTarget &place, const execution::WorkerCall &call, const Done &done)
 {
-    const Timestamp now = this->ways.now();
-    const std::string carrier = this->carriers.choose(now, place.workerCount, call.worker.id, place.dataCentre);
-    const Pending pending = std::make_shared<OnItsWay>(OnItsWay{call, carrier, now, done, {true}, {}});
+    const Timestamp now = this->hooks.now();
+    const std::string carrier = this->relays.choose(now, place.workerCount, call.worker.id, place.dataCentre);
+    const OrderPtr pending = std::make_shared<PendingOrder>(PendingOrder{call, carrier, now, done, {true}, {}});
     if (carrier.empty()) {
-        this->ways.direct(call, [this, pending](const execution::WorkerAnswer &answer) { this->close(pending, pending->first, answer); });
+        this->hooks.sendDirect(call, [this, pending](const execution::WorkerAnswer &answer) { this->completeAttempt(pending, pending->primary, answer); });
     } else {
         const Duration watch = watchOf(call);
         if (watch > absl::ZeroDuration()) {
             this->watches[carrier].insert(pending);
         }
-        this->ways.through(
-            carrier, call, now + call.timeout + watch + carrySlack, [this, pending](const Carried &carried) { this->takeCarried(pending, carried); });
+        this->hooks.sendVia(
+            carrier, call, now + call.timeout + watch + carrySlack, [this, pending](const RelayResult &carried) { this->handleRelayResult(pending, carried); });
     }
     if (!mayArriveTwice(call.order)) {
         return;
     }
-    this->ways.later(now + overtakingAfter, [this, pending] {
-        if (pending->isOver || !pending->first.isOpen) {
+    this->hooks.runAt(now + overtakingAfter, [this, pending] {
+        if (pending->isDone || !pending->primary.isPending) {
             return;
         }
-        this->doubtCarrier(*pending);
-        if (this->overtaking < mostOvertaking) {
-            this->sendAgain(pending);
+        this->suspectRelay(*pending);
+        if (this->hedgesInFlight < mostOvertaking) {
+            this->sendHedge(pending);
         }
     });
 }
 
-void OrderCarrying::takeCarried(const Pending &pending, const Carried &carried)
+void OrderRelay::handleRelayResult(const OrderPtr &pending, const RelayResult &carried)
 {
-    if (carried.outcome == CarriedOutcome::Silent) {
-        this->doubtCarrier(*pending);
+    if (carried.outcome == RelayOutcome::TimedOut) {
+        this->suspectRelay(*pending);
     } else {
-        this->answeredAt[pending->carrier] = this->ways.now();
+        this->lastAnsweredAt[pending->relay] = this->hooks.now();
     }
-    if (carried.outcome == CarriedOutcome::Declined) {
-        this->carriers.noteFailure(this->ways.now(), pending->carrier);
-        pending->first = {};
-        if (!pending->isOver && !pending->second.isOpen) {
-            this->sendAgain(pending);
+    if (carried.outcome == RelayOutcome::Declined) {
+        this->relays.recordFailure(this->hooks.now(), pending->relay);
+        pending->primary = {};
+        if (!pending->isDone && !pending->hedge.isPending) {
+            this->sendHedge(pending);
         }
         return;
     }
     const execution::AnswerKind kind = carried.answer.kind;
     if (kind == execution::AnswerKind::NoAnswer || kind == execution::AnswerKind::NotSent) {
-        this->carriers.noteUnreached(pending->call.worker.id);
+        this->relays.recordUnreachable(pending->call.worker.id);
     }
-    this->close(pending, pending->first, carried.answer);
+    this->completeAttempt(pending, pending->primary, carried.answer);
 }
 
-void OrderCarrying::doubtCarrier(const OnItsWay &order)
+void OrderRelay::suspectRelay(const PendingOrder &order)
 {
-    const auto answered = this->answeredAt.find(order.carrier);
-    const bool isSilent = answered == this->answeredAt.end() || answered->second < order.sentAt;
-    if (order.carrier.empty() || !isSilent) {
+    const auto answered = this->lastAnsweredAt.find(order.relay);
+    const bool isSilent = answered == this->lastAnsweredAt.end() || answered->second < order.sentAt;
+    if (order.relay.empty() || !isSilent) {
         return;
     }
-    if (this->carriers.noteFailure(this->ways.now(), order.carrier)) {
-        log::info("cluster", "carrier.silent", {{"instance", order.carrier}, {"worker", order.call.worker.text()}});
-        this->endWatchesOf(order.carrier);
+    if (this->relays.recordFailure(this->hooks.now(), order.relay)) {
+        log::info("cluster", "carrier.silent", {{"instance", order.relay}, {"worker", order.call.worker.text()}});
+        this->endWatchesOf(order.relay);
     }
 }
 
-void OrderCarrying::sendAgain(const Pending &pending)
+void OrderRelay::sendHedge(const OrderPtr &pending)
 {
-    pending->second.isOpen = true;
-    ++this->overtaking;
-    this->ways.direct(pending->call, [this, pending](const execution::WorkerAnswer &answer) { this->takeSecond(pending, answer); });
+    pending->hedge.isPending = true;
+    ++this->hedgesInFlight;
+    this->hooks.sendDirect(pending->call, [this, pending](const execution::WorkerAnswer &answer) { this->handleHedgeAnswer(pending, answer); });
 }
 
-void OrderCarrying::takeSecond(const Pending &pending, const execution::WorkerAnswer &answer)
+void OrderRelay::handleHedgeAnswer(const OrderPtr &pending, const execution::WorkerAnswer &answer)
 {
-    --this->overtaking;
-    this->close(pending, pending->second, answer);
+    --this->hedgesInFlight;
+    this->completeAttempt(pending, pending->hedge, answer);
 }
 
-void OrderCarrying::close(const Pending &pending, Way &way, const execution::WorkerAnswer &answer)
+void OrderRelay::completeAttempt(const OrderPtr &pending, Attempt &way, const execution::WorkerAnswer &answer)
 {
     way = {false, answer.kind};
-    if (const auto watched = this->watches.find(pending->carrier); watched != this->watches.end()) {
+    if (const auto watched = this->watches.find(pending->relay); watched != this->watches.end()) {
         watched->second.erase(pending);
     }
-    if (pending->isOver || (!settles(answer.kind) && (pending->first.isOpen || pending->second.isOpen))) {
+    if (pending->isDone || (!settles(answer.kind) && (pending->primary.isPending || pending->hedge.isPending))) {
         return;
     }
-    pending->isOver = true;
+    pending->isDone = true;
     execution::WorkerAnswer whole = answer;
-    whole.kind = settles(answer.kind) ? answer.kind : combined(*pending);
+    whole.kind = settles(answer.kind) ? answer.kind : combinedResult(*pending);
     pending->done(whole);
 }
 
-execution::AnswerKind OrderCarrying::combined(const OnItsWay &order)
+execution::AnswerKind OrderRelay::combinedResult(const PendingOrder &order)
 {
-    const execution::AnswerKind first = order.first.result;
-    const execution::AnswerKind second = order.second.result;
+    const execution::AnswerKind first = order.primary.result;
+    const execution::AnswerKind second = order.hedge.result;
     if (first == execution::AnswerKind::NoAnswer || second == execution::AnswerKind::NoAnswer) {
         return execution::AnswerKind::NoAnswer;
     }
--- a/paddlepier/cluster/ordercarrying.h
+++ b/paddlepier/cluster/orderrelay.h
@@ -19,11 +19,11 @@
 //
 // Thread safety: none; owned by the control thread, which calls back. Cost: O(core instances) an order.
 
-#ifndef PADDLEPIER_CLUSTER_ORDERCARRYING_H
-#define PADDLEPIER_CLUSTER_ORDERCARRYING_H
+#ifndef PADDLEPIER_CLUSTER_ORDERRELAY_H
+#define PADDLEPIER_CLUSTER_ORDERRELAY_H
 
 #include "paddlepier/base/clock.h"
-#include "paddlepier/cluster/carriers.h"
+#include "paddlepier/cluster/relaypool.h"
 #include "paddlepier/execution/orders.h"
 
 #include <cstddef>
@@ -38,91 +38,92 @@
 {
 
 /** What another instance made of an order. */
-enum class CarriedOutcome {
+enum class RelayOutcome {
     /** It has a worker's answer, or its silence. */
     Answered,
     /** It is stopping, and has done nothing. */
     Declined,
     /** Nothing came by the deadline. */
-    Silent
+    TimedOut
 };
 
-struct Carried {
-    CarriedOutcome outcome = CarriedOutcome::Silent;
+struct RelayResult {
+    RelayOutcome outcome = RelayOutcome::TimedOut;
     execution::WorkerAnswer answer;
 };
 
 /** How orders leave this process; each calls back once, on the control thread. */
-struct CarryingWays {
-    std::function<void(const execution::WorkerCall &call, std::function<void(const execution::WorkerAnswer &)> done)> direct;
-    std::function<void(const std::string &instance, const execution::WorkerCall &call, Timestamp deadline, std::function<void(const Carried &)> done)> through;
-    std::function<void(Timestamp at, std::function<void()> action)> later;
+struct RelayHooks {
+    std::function<void(const execution::WorkerCall &call, std::function<void(const execution::WorkerAnswer &)> done)> sendDirect;
+    std::function<void(const std::string &instance, const execution::WorkerCall &call, Timestamp deadline, std::function<void(const RelayResult &)> done)>
+        sendVia;
+    std::function<void(Timestamp at, std::function<void()> action)> runAt;
     std::function<Timestamp()> now;
 };
 
 /** Where an order goes. */
-struct CarryingPlace {
+struct RelayTarget {
     std::size_t workerCount = 0;
     std::string dataCentre;
 };
 
-class OrderCarrying
+class OrderRelay
 {
 public:
     using Done = std::function<void(const execution::WorkerAnswer &)>;
 
-    explicit OrderCarrying(CarryingWays carryingWays);
+    explicit OrderRelay(RelayHooks carryingWays);
 
-    void carry(const CarryingPlace &place, const execution::WorkerCall &call, const Done &done);
+    void send(const RelayTarget &place, const execution::WorkerCall &call, const Done &done);
 
     /** Another core instance has shown that it is there; @p incarnation is another one after each of its starts. */
-    void noteAlive(Timestamp now, const std::string &instance, const std::string &dataCentre, std::uint64_t incarnation = 0);
+    void markAlive(Timestamp now, const std::string &instance, const std::string &dataCentre, std::uint64_t incarnation = 0);
     /** Ends the watches of an instance that hasn't shown itself by @p seenUntil, one at a time; call it often. */
     void tick(Timestamp seenUntil);
 
     /** This process leads no more: whoever leads now has the workers polled. */
-    void forgetWatches();
+    void abandonWatches();
 
 private:
     /** One of the two ways that an order may take. */
-    struct Way {
-        bool isOpen = false;
+    struct Attempt {
+        bool isPending = false;
         /** Once it is closed: what came of it; NotSent if nothing was done. */
         execution::AnswerKind result = execution::AnswerKind::NotSent;
     };
-    struct OnItsWay {
+    struct PendingOrder {
         execution::WorkerCall call;
-        std::string carrier;
+        std::string relay;
         Timestamp sentAt;
         Done done;
         /** Through the carrier, or directly where there is none. */
-        Way first;
+        Attempt primary;
         /** Directly, if the first one was late. */
-        Way second;
-        bool isOver = false;
+        Attempt hedge;
+        bool isDone = false;
     };
-    using Pending = std::shared_ptr<OnItsWay>;
+    using OrderPtr = std::shared_ptr<PendingOrder>;
 
     void endWatchesOf(const std::string &carrier);
     /** An order through a carrier is late: the carrier itself is at fault if it has answered nothing at all since then. */
-    void doubtCarrier(const OnItsWay &order);
-    void takeCarried(const Pending &pending, const Carried &carried);
-    void sendAgain(const Pending &pending);
-    void takeSecond(const Pending &pending, const execution::WorkerAnswer &answer);
+    void suspectRelay(const PendingOrder &order);
+    void handleRelayResult(const OrderPtr &pending, const RelayResult &carried);
+    void sendHedge(const OrderPtr &pending);
+    void handleHedgeAnswer(const OrderPtr &pending, const execution::WorkerAnswer &answer);
     /** A way has closed with @p answer: ends the order if that settles it, or if no other way is open. */
-    void close(const Pending &pending, Way &way, const execution::WorkerAnswer &answer);
+    void completeAttempt(const OrderPtr &pending, Attempt &way, const execution::WorkerAnswer &answer);
     /** Of the order as a whole: uncertain if one of its ways is. */
-    static execution::AnswerKind combined(const OnItsWay &order);
+    static execution::AnswerKind combinedResult(const PendingOrder &order);
 
-    const CarryingWays ways;
-    Carriers carriers;
+    const RelayHooks hooks;
+    RelayPool relays;
     /** When each carrier last answered an order, whatever it said. */
-    std::map<std::string, Timestamp> answeredAt;
+    std::map<std::string, Timestamp> lastAnsweredAt;
     /** Watches under way, by their carriers. */
-    std::map<std::string, std::set<Pending>> watches;
+    std::map<std::string, std::set<OrderPtr>> watches;
     Timestamp nextWatchEnd = absl::InfinitePast();
     /** Orders sent both ways and not over. */
-    std::size_t overtaking = 0;
+    std::size_t hedgesInFlight = 0;
 };
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/ordercarrying_test.cpp
+++ b/paddlepier/cluster/orderrelay_test.cpp
@@ -1,6 +1,6 @@
 // Orders through instances that are lost, slow or stopping, in virtual time.
 
-#include "paddlepier/cluster/ordercarrying.h"
+#include "paddlepier/cluster/orderrelay.h"
 
 #include <absl/strings/str_cat.h>
 #include <catch2/catch.hpp>
@@ -23,18 +23,18 @@
     OrderCarryingFixture()
         : carrying(this->ways())
     {
-        this->carrying.noteAlive(this->now, "north-1", "north");
+        this->carrying.markAlive(this->now, "north-1", "north");
     }
 
-    CarryingWays ways()
+    RelayHooks ways()
     {
-        CarryingWays made;
-        made.direct = [this](const execution::WorkerCall &, const OrderCarrying::Done &done) { this->direct.push_back(done); };
-        made.through = [this](const std::string &, const execution::WorkerCall &, Timestamp deadline, const std::function<void(const Carried &)> &done) {
+        RelayHooks made;
+        made.sendDirect = [this](const execution::WorkerCall &, const OrderRelay::Done &done) { this->direct.push_back(done); };
+        made.sendVia = [this](const std::string &, const execution::WorkerCall &, Timestamp deadline, const std::function<void(const RelayResult &)> &done) {
             this->through.push_back(done);
-            this->timers.emplace(deadline, [this, number = this->through.size() - 1] { this->endCarried(number, {CarriedOutcome::Silent, {}}); });
+            this->timers.emplace(deadline, [this, number = this->through.size() - 1] { this->endCarried(number, {RelayOutcome::TimedOut, {}}); });
         };
-        made.later = [this](Timestamp at, const std::function<void()> &action) { this->timers.emplace(at, action); };
+        made.runAt = [this](Timestamp at, const std::function<void()> &action) { this->timers.emplace(at, action); };
         made.now = [this] { return this->now; };
         return made;
     }
@@ -47,7 +47,7 @@
         call.worker = {worker};
         call.timeout = absl::Milliseconds(900);
         call.order = std::move(order);
-        this->carrying.carry({this->workerCount, dataCentre}, call, [this](const execution::WorkerAnswer &answer) { this->answers.push_back(answer.kind); });
+        this->carrying.send({this->workerCount, dataCentre}, call, [this](const execution::WorkerAnswer &answer) { this->answers.push_back(answer.kind); });
     }
 
     void pass(Duration time)
@@ -62,7 +62,7 @@
         this->now = end;
     }
 
-    void endCarried(std::size_t number, const Carried &carried)
+    void endCarried(std::size_t number, const RelayResult &carried)
     {
         if (const auto done = std::exchange(this->through.at(number), nullptr)) {
             done(carried);
@@ -71,7 +71,7 @@
 
     void answerCarried(std::size_t number, AnswerKind kind)
     {
-        this->endCarried(number, {CarriedOutcome::Answered, answerOf(kind)});
+        this->endCarried(number, {RelayOutcome::Answered, answerOf(kind)});
     }
 
     static execution::WorkerAnswer answerOf(AnswerKind kind)
@@ -84,10 +84,10 @@
     std::size_t workerCount = 350;
     Timestamp now = absl::UnixEpoch() + absl::Hours(1);
     std::multimap<Timestamp, std::function<void()>> timers;
-    std::deque<OrderCarrying::Done> direct;
-    std::deque<std::function<void(const Carried &)>> through;
+    std::deque<OrderRelay::Done> direct;
+    std::deque<std::function<void(const RelayResult &)>> through;
     std::vector<AnswerKind> answers;
-    OrderCarrying carrying;
+    OrderRelay carrying;
 };
 
 } // namespace
@@ -166,7 +166,7 @@
     }
     SECTION("the carrier is stopping and has done nothing")
     {
-        this->endCarried(0, {CarriedOutcome::Declined, {}});
+        this->endCarried(0, {RelayOutcome::Declined, {}});
         REQUIRE(this->direct.size() == 2);
         this->direct[1](answerOf(AnswerKind::BadTicket));
         CHECK(this->answers == std::vector{AnswerKind::BadTicket});
@@ -234,10 +234,10 @@
 TEST_CASE_METHOD(OrderCarryingFixture, "watch_throughAnInstanceThatHasStartedAgain_ends")
 {
     this->order(execution::PollOrder{0, absl::Seconds(2), absl::Seconds(10)});
-    this->carrying.noteAlive(this->now, "north-1", "north");
+    this->carrying.markAlive(this->now, "north-1", "north");
     CHECK(this->answers.empty());
     constexpr std::uint64_t other = 2;
-    this->carrying.noteAlive(this->now, "north-1", "north", other);
+    this->carrying.markAlive(this->now, "north-1", "north", other);
     CHECK(this->answers == std::vector{AnswerKind::NoAnswer});
 }
 
@@ -245,7 +245,7 @@
 {
     this->order(execution::PollOrder{0, absl::Seconds(2), absl::Seconds(10)});
     this->pass(absl::Seconds(4));
-    this->carrying.noteAlive(this->now, "north-1", "north");
+    this->carrying.markAlive(this->now, "north-1", "north");
     this->answerCarried(0, AnswerKind::Accepted);
     this->pass(absl::Seconds(2));
     this->carrying.tick(this->now);
@@ -256,7 +256,7 @@
 {
     constexpr int instances = 8;
     for (int number = 0; number < instances; ++number) {
-        this->carrying.noteAlive(this->now, absl::StrCat("south-", number), "south");
+        this->carrying.markAlive(this->now, absl::StrCat("south-", number), "south");
     }
     constexpr std::size_t orders = 200;
     for (std::size_t number = 0; number < orders; ++number) {
@@ -270,7 +270,7 @@
     CHECK(first < orders / 3);
     // The others show themselves at last: their watches go on.
     for (int number = 0; number < instances; ++number) {
-        this->carrying.noteAlive(this->now, absl::StrCat("south-", number), "south");
+        this->carrying.markAlive(this->now, absl::StrCat("south-", number), "south");
     }
     this->pass(absl::Milliseconds(200));
     this->carrying.tick(this->now);
--- a/paddlepier/cluster/ports.h
+++ b/paddlepier/cluster/ports.h
@@ -20,7 +20,7 @@
 };
 
 struct AdvicePort {
-    std::function<void(const work::AdviceCallT &call, std::function<void(execution::AdviceAnswer)> done)> ask;
+    std::function<void(const work::AdviceCallT &call, std::function<void(execution::AdviceAnswer)> done)> request;
 };
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/carrycodec.cpp
+++ b/paddlepier/cluster/relaycodec.cpp
@@ -1,6 +1,6 @@
 // Orders to workers and their answers as messages between core instances.
 
-#include "paddlepier/cluster/carrycodec.h"
+#include "paddlepier/cluster/relaycodec.h"
 
 #include "paddlepier/base/error.h"
 
@@ -84,7 +84,7 @@
 
 } // namespace
 
-work::CarryCallT toCarryCall(const execution::WorkerCall &call)
+work::CarryCallT encodeRelayCall(const execution::WorkerCall &call)
 {
     work::CarryCallT made;
     made.worker = call.worker.id;
@@ -97,7 +97,7 @@
     return made;
 }
 
-execution::WorkerCall fromCarryCall(const work::CarryCallT &call)
+execution::WorkerCall decodeRelayCall(const work::CarryCallT &call)
 {
     execution::WorkerCall made;
     made.worker = {call.worker, call.born};
@@ -109,7 +109,7 @@
     return made;
 }
 
-work::CarryReplyT toCarryReply(const execution::WorkerAnswer &answer)
+work::CarryReplyT encodeRelayReply(const execution::WorkerAnswer &answer)
 {
     work::CarryReplyT made;
     made.kind = static_cast<std::uint8_t>(answer.kind);
@@ -135,7 +135,7 @@
     return made;
 }
 
-execution::WorkerAnswer fromCarryReply(const work::CarryReplyT &reply)
+execution::WorkerAnswer decodeRelayReply(const work::CarryReplyT &reply)
 {
     if (reply.kind > lastAnswerKind) {
         throw InvalidArgumentError(absl::StrCat("no kind of answer has the number ", reply.kind));
--- a/paddlepier/cluster/carriers.cpp
+++ b/paddlepier/cluster/relaypool.cpp
@@ -1,6 +1,6 @@
 // Chooses the core instance that carries an order to a worker out.
 
-#include "paddlepier/cluster/carriers.h"
+#include "paddlepier/cluster/relaypool.h"
 
 #include <xxhash.h>
 
@@ -32,55 +32,55 @@
 
 } // namespace
 
-bool Carriers::noteAlive(Timestamp now, const std::string &instance, const std::string &dataCentre, std::uint64_t incarnation)
+bool RelayPool::markAlive(Timestamp now, const std::string &instance, const std::string &dataCentre, std::uint64_t incarnation)
 {
-    const auto [entry, isNew] = this->carriers.try_emplace(instance);
-    Carrier &carrier = entry->second;
+    const auto [entry, isNew] = this->relays.try_emplace(instance);
+    Relay &carrier = entry->second;
     carrier.dataCentre = dataCentre;
-    carrier.aliveAt = now;
+    carrier.lastSeenAt = now;
     return std::exchange(carrier.incarnation, incarnation) == incarnation || isNew;
 }
 
-bool Carriers::Carrier::isAlive(Timestamp now) const
+bool RelayPool::Relay::isAlive(Timestamp now) const
 {
-    return now - this->aliveAt <= aliveFor;
+    return now - this->lastSeenAt <= aliveFor;
 }
 
-bool Carriers::isAlive(Timestamp now, const std::string &instance) const
+bool RelayPool::isAlive(Timestamp now, const std::string &instance) const
 {
-    const auto carrier = this->carriers.find(instance);
-    return carrier != this->carriers.end() && carrier->second.isAlive(now);
+    const auto carrier = this->relays.find(instance);
+    return carrier != this->relays.end() && carrier->second.isAlive(now);
 }
 
-bool Carriers::noteFailure(Timestamp now, const std::string &instance)
+bool RelayPool::recordFailure(Timestamp now, const std::string &instance)
 {
-    const auto carrier = this->carriers.find(instance);
-    if (carrier == this->carriers.end() || carrier->second.avoidedUntil > now) {
+    const auto carrier = this->relays.find(instance);
+    if (carrier == this->relays.end() || carrier->second.avoidedUntil > now) {
         return false;
     }
     carrier->second.avoidedUntil = now + avoidedAfterFailure;
     return true;
 }
 
-void Carriers::noteUnreached(const std::string &worker)
+void RelayPool::recordUnreachable(const std::string &worker)
 {
-    if (this->unreached.size() >= mostRemembered) {
-        this->unreached.clear();
+    if (this->unreachableCounts.size() >= mostRemembered) {
+        this->unreachableCounts.clear();
     }
-    ++this->unreached[worker];
+    ++this->unreachableCounts[worker];
 }
 
-std::string Carriers::choose(Timestamp now, std::size_t workerCount, const std::string &worker, const std::string &dataCentre) const
+std::string RelayPool::choose(Timestamp now, std::size_t workerCount, const std::string &worker, const std::string &dataCentre) const
 {
     if (workerCount <= mostWorkersOfLeader) {
         return "";
     }
-    const auto missed = this->unreached.find(worker);
-    const std::uint32_t round = missed == this->unreached.end() ? 0 : missed->second;
+    const auto missed = this->unreachableCounts.find(worker);
+    const std::uint32_t round = missed == this->unreachableCounts.end() ? 0 : missed->second;
     const std::string *best = nullptr;
     std::uint64_t mostWeight = 0;
     bool isBestNear = false;
-    for (const auto &[instance, carrier] : this->carriers) {
+    for (const auto &[instance, carrier] : this->relays) {
         if (!carrier.isAlive(now) || carrier.avoidedUntil > now) {
             continue;
         }
--- a/paddlepier/cluster/carriers.h
+++ b/paddlepier/cluster/relaypool.h
@@ -12,8 +12,8 @@
 //
 // Thread safety: none; owned by the control thread. choose() costs O(core instances).
 
-#ifndef PADDLEPIER_CLUSTER_CARRIERS_H
-#define PADDLEPIER_CLUSTER_CARRIERS_H
+#ifndef PADDLEPIER_CLUSTER_RELAYPOOL_H
+#define PADDLEPIER_CLUSTER_RELAYPOOL_H
 
 #include "paddlepier/base/clock.h"
 
@@ -25,7 +25,7 @@
 namespace paddlepier::cluster
 {
 
-class Carriers
+class RelayPool
 {
 public:
     /**
@@ -34,34 +34,34 @@
      * @param incarnation  another one after each of its starts
      * @return false if it has started again: what it was to carry out is lost
      */
-    bool noteAlive(Timestamp now, const std::string &instance, const std::string &dataCentre, std::uint64_t incarnation = 0);
+    bool markAlive(Timestamp now, const std::string &instance, const std::string &dataCentre, std::uint64_t incarnation = 0);
     /** It has shown itself lately. */
     bool isAlive(Timestamp now, const std::string &instance) const;
     /** It has left an order without an answer. @return false if it is avoided already */
-    bool noteFailure(Timestamp now, const std::string &instance);
+    bool recordFailure(Timestamp now, const std::string &instance);
 
     /** An order to @p worker came to nothing: the next ones go another way, since the worker may be out of this one's reach alone. */
-    void noteUnreached(const std::string &worker);
+    void recordUnreachable(const std::string &worker);
 
     /** @return the instance that carries orders to @p worker, or an empty name for the leader itself */
     std::string choose(Timestamp now, std::size_t workerCount, const std::string &worker, const std::string &dataCentre) const;
 
 private:
-    struct Carrier {
+    struct Relay {
         std::string dataCentre;
         std::uint64_t incarnation = 0;
-        Timestamp aliveAt;
+        Timestamp lastSeenAt;
         Timestamp avoidedUntil = absl::InfinitePast();
 
         bool isAlive(Timestamp now) const;
     };
 
-    std::map<std::string, Carrier> carriers;
+    std::map<std::string, Relay> relays;
     /**
      * How often workers weren't reached; each time another instance comes to be chosen, every other time of any data centre. By id,
      * since it is about the way to a worker, whichever of its lives is there.
      */
-    std::map<std::string, std::uint32_t> unreached;
+    std::map<std::string, std::uint32_t> unreachableCounts;
 };
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/carriers_test.cpp
+++ b/paddlepier/cluster/relaypool_test.cpp
@@ -1,9 +1,9 @@
 // Which instance carries orders to which worker, and orders on their way over another instance.
 
-#include "paddlepier/cluster/carriers.h"
+#include "paddlepier/cluster/relaypool.h"
 
 #include "paddlepier/base/error.h"
-#include "paddlepier/cluster/carrycodec.h"
+#include "paddlepier/cluster/relaycodec.h"
 #include "paddlepier/wire/codec.h"
 
 #include <absl/strings/str_cat.h>
@@ -32,7 +32,7 @@
     {
         for (const char *zone : {"north", "south"}) {
             for (const char *number : {"1", "2"}) {
-                this->carriers.noteAlive(this->now, absl::StrCat(zone, "-", number), zone);
+                this->carriers.markAlive(this->now, absl::StrCat(zone, "-", number), zone);
             }
         }
     }
@@ -46,7 +46,7 @@
         return found;
     }
 
-    Carriers carriers;
+    RelayPool carriers;
     Timestamp now = absl::UnixEpoch() + absl::Hours(1);
 };
 
@@ -72,7 +72,7 @@
 
 TEST_CASE_METHOD(CarriersFixture, "choose_afterAnOrderWithoutAnswer_avoidsThatInstanceForAWhile")
 {
-    this->carriers.noteFailure(this->now, "north-1");
+    this->carriers.recordFailure(this->now, "north-1");
     CHECK(this->shares("north").size() == 1);
     this->now += absl::Seconds(3);
     this->showAll();
@@ -84,7 +84,7 @@
     std::set<std::string> ways;
     for (int round = 0; round < 12; ++round) {
         ways.insert(this->carriers.choose(this->now, manyWorkers, "w1", "north"));
-        this->carriers.noteUnreached("w1");
+        this->carriers.recordUnreachable("w1");
     }
     CHECK(ways.size() >= 3);
     CHECK(this->shares("north").size() >= 2);
@@ -110,7 +110,7 @@
                                                                        execution::StopOrder{task, 2},
                                                                        execution::PaceOrder{task, 2, 40}}) {
         call.order = order;
-        const execution::WorkerCall back = fromCarryCall(wire::unpack<work::CarryCallT>(wire::pack(toCarryCall(call))));
+        const execution::WorkerCall back = decodeRelayCall(wire::unpack<work::CarryCallT>(wire::pack(encodeRelayCall(call))));
         CHECK(back.worker == call.worker);
         CHECK(back.address == call.address);
         CHECK(back.fence == call.fence);
@@ -140,7 +140,7 @@
     answer.clockMillis = 99;
     answer.running.push_back({workload::TaskKey("a", 0, 1, 2), 3, "saved", 50, 700});
     answer.ended.push_back({8, workload::TaskKey("b", 0, 0, 0), 1, work::RunEndKind::Done, ""});
-    const execution::WorkerAnswer back = fromCarryReply(wire::unpack<work::CarryReplyT>(wire::pack(toCarryReply(answer))));
+    const execution::WorkerAnswer back = decodeRelayReply(wire::unpack<work::CarryReplyT>(wire::pack(encodeRelayReply(answer))));
     CHECK(back.kind == answer.kind);
     CHECK(back.clockMillis == 99);
     REQUIRE(back.running.size() == 1);
@@ -154,10 +154,10 @@
 
 TEST_CASE("carriedCall_withoutOrderOrAnswerOfNoKind_isRefused")
 {
-    CHECK_THROWS_AS(fromCarryCall(work::CarryCallT()), InvalidArgumentError);
+    CHECK_THROWS_AS(decodeRelayCall(work::CarryCallT()), InvalidArgumentError);
     work::CarryReplyT reply;
     reply.kind = 200;
-    CHECK_THROWS_AS(fromCarryReply(reply), InvalidArgumentError);
+    CHECK_THROWS_AS(decodeRelayReply(reply), InvalidArgumentError);
 }
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/servingwatch.h
+++ b/paddlepier/cluster/servingwatchdog.h
@@ -8,8 +8,8 @@
 //
 // Thread safety: none; owned by the control thread.
 
-#ifndef PADDLEPIER_CLUSTER_SERVINGWATCH_H
-#define PADDLEPIER_CLUSTER_SERVINGWATCH_H
+#ifndef PADDLEPIER_CLUSTER_SERVINGWATCHDOG_H
+#define PADDLEPIER_CLUSTER_SERVINGWATCHDOG_H
 
 #include "paddlepier/base/clock.h"
 
@@ -17,28 +17,28 @@
 {
 
 /** Longer than an election and the first commit of a term; callers wait for about twice that. */
-constexpr Duration mostTimeWithoutServing = absl::Milliseconds(1500);
+constexpr Duration maxTimeWithoutServing = absl::Milliseconds(1500);
 
-class ServingWatch
+class ServingWatchdog
 {
 public:
     /** @return true if leadership is to be handed over; then not again before as much time has passed once more */
-    bool note(Timestamp now, bool leads, bool serves)
+    bool update(Timestamp now, bool leads, bool serves)
     {
         if (!leads || serves) {
-            this->servedAt = now;
+            this->lastServedAt = now;
             return false;
         }
-        if (now - this->servedAt < mostTimeWithoutServing) {
+        if (now - this->lastServedAt < maxTimeWithoutServing) {
             return false;
         }
-        this->servedAt = now;
+        this->lastServedAt = now;
         return true;
     }
 
 private:
     /** When it last served, or didn't lead. */
-    Timestamp servedAt = absl::InfiniteFuture();
+    Timestamp lastServedAt = absl::InfiniteFuture();
 };
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/servingwatch_test.cpp
+++ b/paddlepier/cluster/servingwatchdog_test.cpp
@@ -1,6 +1,6 @@
 // A leader that can't serve gives its place up.
 
-#include "paddlepier/cluster/servingwatch.h"
+#include "paddlepier/cluster/servingwatchdog.h"
 
 #include <catch2/catch.hpp>
 
@@ -18,12 +18,12 @@
     {
         int asked = 0;
         for (const Timestamp end = this->now + time; this->now < end; this->now += absl::Milliseconds(20)) {
-            asked += this->watch.note(this->now, leads, serves) ? 1 : 0;
+            asked += this->watch.update(this->now, leads, serves) ? 1 : 0;
         }
         return asked;
     }
 
-    ServingWatch watch;
+    ServingWatchdog watch;
     Timestamp now = absl::UnixEpoch() + absl::Hours(1);
 };
 
--- a/paddlepier/cluster/workerwatch.cpp
+++ b/paddlepier/cluster/workerwatch.cpp
@@ -11,8 +11,8 @@
 namespace paddlepier::cluster
 {
 
-WorkerWatch::WorkerWatch(WatchWays watchWays)
-    : ways(std::move(watchWays))
+WorkerWatch::WorkerWatch(WatchHooks watchWays)
+    : hooks(std::move(watchWays))
 {
 }
 
@@ -23,10 +23,10 @@
     watch->call = call;
     watch->order = std::get<execution::PollOrder>(call.order);
     watch->done = std::move(done);
-    watch->until = this->ways.now() + watch->order.watch;
+    watch->expiresAt = this->hooks.now() + watch->order.watch;
     watch->number = this->nextNumber++;
     this->newest[call.worker] = watch->number;
-    this->ask(watch);
+    this->sendPoll(watch);
 }
 
 std::size_t WorkerWatch::size() const
@@ -34,14 +34,15 @@
     return this->newest.size();
 }
 
-void WorkerWatch::ask(const std::shared_ptr<Watch> &watch)
+void WorkerWatch::sendPoll(const std::shared_ptr<Watch> &watch)
 {
-    this->ways.call(watch->call, [this, watch](Timestamp answeredAt, const execution::WorkerAnswer &answer) { this->take(watch, answeredAt, answer); });
+    this->hooks.call(watch->call,
+                     [this, watch](Timestamp answeredAt, const execution::WorkerAnswer &answer) { this->handleAnswer(watch, answeredAt, answer); });
 }
 
-void WorkerWatch::take(const std::shared_ptr<Watch> &watch, Timestamp answeredAt, const execution::WorkerAnswer &answer)
+void WorkerWatch::handleAnswer(const std::shared_ptr<Watch> &watch, Timestamp answeredAt, const execution::WorkerAnswer &answer)
 {
-    if (!this->goesOn(*watch, answer)) {
+    if (!this->shouldRepeat(*watch, answer)) {
         if (this->isNewest(*watch)) {
             this->newest.erase(watch->call.worker);
         }
@@ -52,18 +53,18 @@
         watch->clockMillis = std::max(answer.clockMillis, watch->clockMillis.value_or(answer.clockMillis));
     }
     execution::PollOrder order = watch->order;
-    order.lastSequence = this->ways.now() - answeredAt <= execution::sameLifeFor ? order.lastSequence : 0;
+    order.lastSequence = this->hooks.now() - answeredAt <= execution::incarnationConfirmedFor ? order.lastSequence : 0;
     watch->call.order = order;
-    this->ask(watch);
+    this->sendPoll(watch);
 }
 
-bool WorkerWatch::goesOn(const Watch &watch, const execution::WorkerAnswer &answer) const
+bool WorkerWatch::shouldRepeat(const Watch &watch, const execution::WorkerAnswer &answer) const
 {
     // Every life has a clock of its own; of a worker that doesn't tell its birth only that shows another one.
     const bool isClockSet = answer.hasClock && answer.clockMillis < watch.clockMillis.value_or(answer.clockMillis);
-    const bool isInTime = this->ways.now() + watch.order.wait <= watch.until;
+    const bool isInTime = this->hooks.now() + watch.order.wait <= watch.expiresAt;
     return this->isNewest(watch) && isInTime && !isClockSet && execution::reportsNoChange(watch.call, watch.order, answer)
-           && this->ways.isServing(watch.leader);
+           && this->hooks.isServing(watch.leader);
 }
 
 bool WorkerWatch::isNewest(const Watch &watch) const
--- a/paddlepier/cluster/workerwatch.h
+++ b/paddlepier/cluster/workerwatch.h
@@ -33,7 +33,7 @@
 {
 
 /** What a watch needs of its process. */
-struct WatchWays {
+struct WatchHooks {
     using Answered = std::function<void(Timestamp answeredAt, const execution::WorkerAnswer &answer)>;
     /** Calls back once, on the control thread. */
     std::function<void(const execution::WorkerCall &call, Answered done)> call;
@@ -47,7 +47,7 @@
 public:
     using Done = std::function<void(const execution::WorkerAnswer &answer)>;
 
-    explicit WorkerWatch(WatchWays watchWays);
+    explicit WorkerWatch(WatchHooks watchWays);
 
     /** @param call  holds a PollOrder */
     void poll(const std::string &leader, const execution::WorkerCall &call, Done done);
@@ -60,21 +60,21 @@
         execution::WorkerCall call;
         execution::PollOrder order;
         Done done;
-        Timestamp until;
+        Timestamp expiresAt;
         std::uint64_t number = 0;
         /** The greatest reading of the worker's clock so far. */
         std::optional<std::int64_t> clockMillis;
     };
 
-    void ask(const std::shared_ptr<Watch> &watch);
-    void take(const std::shared_ptr<Watch> &watch, Timestamp answeredAt, const execution::WorkerAnswer &answer);
-    bool goesOn(const Watch &watch, const execution::WorkerAnswer &answer) const;
+    void sendPoll(const std::shared_ptr<Watch> &watch);
+    void handleAnswer(const std::shared_ptr<Watch> &watch, Timestamp answeredAt, const execution::WorkerAnswer &answer);
+    bool shouldRepeat(const Watch &watch, const execution::WorkerAnswer &answer) const;
     /** No newer poll of the same life is under way here. */
     bool isNewest(const Watch &watch) const;
 
-    const WatchWays ways;
+    const WatchHooks hooks;
     /** Number of the newest poll of each life that is under way. */
-    std::map<workload::Life, std::uint64_t> newest;
+    std::map<workload::Incarnation, std::uint64_t> newest;
     std::uint64_t nextNumber = 1;
 };
 
--- a/paddlepier/cluster/workerwatch_test.cpp
+++ b/paddlepier/cluster/workerwatch_test.cpp
@@ -25,10 +25,10 @@
     {
     }
 
-    WatchWays ways()
+    WatchHooks ways()
     {
-        WatchWays made;
-        made.call = [this](const execution::WorkerCall &call, WatchWays::Answered done) { this->polls.push_back({call, std::move(done)}); };
+        WatchHooks made;
+        made.call = [this](const execution::WorkerCall &call, WatchHooks::Answered done) { this->polls.push_back({call, std::move(done)}); };
         made.isServing = [this](const std::string &leader) { return leader == this->leader; };
         made.now = [this] { return this->now; };
         return made;
@@ -46,7 +46,7 @@
     /** The worker answers the poll that came last, @p late before the control thread takes the answer. */
     void answer(const WorkerAnswer &answer, Duration late = absl::ZeroDuration())
     {
-        const WatchWays::Answered done = std::move(this->polls.back().second);
+        const WatchHooks::Answered done = std::move(this->polls.back().second);
         const Timestamp answeredAt = this->now;
         this->now += late;
         done(answeredAt, answer);
@@ -69,7 +69,7 @@
 
     Timestamp now = absl::UnixEpoch() + absl::Hours(1);
     std::string leader = "core-1";
-    std::vector<std::pair<execution::WorkerCall, WatchWays::Answered>> polls;
+    std::vector<std::pair<execution::WorkerCall, WatchHooks::Answered>> polls;
     std::vector<AnswerKind> answers;
     WorkerWatch watch;
 };
--- a/paddlepier/cluster/workservice.cpp
+++ b/paddlepier/cluster/workservice.cpp
@@ -61,14 +61,14 @@
 WorkService::WorkService(WorkloadNode &workloadNode,
                          const WorkOptions &options,
                          WorkerPort workerPort,
-                         AskThrough askThrough,
-                         AdviceCallers &adviceCallers,
+                         RequestAdviceVia askThrough,
+                         AdviceCallerPool &adviceCallers,
                          Counters &processCounters,
                          Timestamp now)
     : node(workloadNode)
     , callerKeys(options.callerKeys)
     , workers(std::move(workerPort))
-    , askThroughInstance(std::move(askThrough))
+    , requestAdviceVia(std::move(askThrough))
     , callers(adviceCallers)
     , counters(processCounters)
     , submittedJobs(processCounters.counter("jobs_submitted_total"))
@@ -81,13 +81,13 @@
     , evacuationChanges(processCounters.counter("evacuation_changes_total"))
     , workerCallTimes(processCounters.histogram("worker_call"))
     , dispatcher(workloadNode.state(), options.dispatch, workloadNode.replica().currentTerm(), now)
-    , isAlive(std::make_shared<bool>(true))
+    , isTermActive(std::make_shared<bool>(true))
 {
 }
 
 WorkService::~WorkService()
 {
-    *this->isAlive = false;
+    *this->isTermActive = false;
 }
 
 void WorkService::propose(work::CommandUnion command, WorkloadNode::Completed completed)
@@ -98,11 +98,11 @@
     this->node.proposeBytes(wire::pack(entry), std::move(completed));
 }
 
-void WorkService::proposeFor(work::CommandUnion command, work::WorkReplyT reply, const CallDone &done)
+void WorkService::proposeAndReply(work::CommandUnion command, work::WorkReplyT reply, const CallDone &done)
 {
-    this->propose(std::move(command), [this, alive = this->isAlive, reply = std::move(reply), done](const workload::Outcome &outcome) {
+    this->propose(std::move(command), [this, alive = this->isTermActive, reply = std::move(reply), done](const workload::Outcome &outcome) {
         if (*alive) {
-            this->dispatcher.noteChange();
+            this->dispatcher.markChanged();
         }
         CallResult result;
         result.reply = reply;
@@ -134,7 +134,7 @@
     case WorkMethod::Announce:
         return this->announce(now, wire::unpack<work::AnnounceCallT>(body), done);
     case WorkMethod::Heartbeats:
-        return this->noteHeartbeats(now, wire::unpack<work::HeartbeatsCallT>(body), done);
+        return this->recordHeartbeats(now, wire::unpack<work::HeartbeatsCallT>(body), done);
     case WorkMethod::Withdraw:
         return this->withdraw(now, wire::unpack<work::WithdrawCallT>(body), done);
     case WorkMethod::Configure:
@@ -194,10 +194,10 @@
 {
     const auto &[queue, id, team] = request;
     if (const workload::Job *known = this->node.state().findJob(id)) {
-        done(maySee(*known, queue, team) ? answer(work::CallOutcome::Accepted) : answer(work::CallOutcome::Refused, "another job has this id"));
+        done(canView(*known, queue, team) ? answer(work::CallOutcome::Accepted) : answer(work::CallOutcome::Refused, "another job has this id"));
         return;
     }
-    const std::string problem = call.spec ? workload::problemOf(*call.spec) : "no job";
+    const std::string problem = call.spec ? workload::validationError(*call.spec) : "no job";
     if (!problem.empty()) {
         log::info("jobs", "job.invalid", {{"job", id}, {"queue", queue.name}, {"problem", problem}});
         done(answer(work::CallOutcome::Invalid, problem));
@@ -217,33 +217,33 @@
     command.queue = queue.name;
     command.team = team;
     command.spec = std::make_unique<work::JobSpecT>(*call.spec);
-    this->proposeFor(toCommand(std::move(command)), answer(work::CallOutcome::Accepted).reply, done);
+    this->proposeAndReply(toCommand(std::move(command)), answer(work::CallOutcome::Accepted).reply, done);
 }
 
 void WorkService::show(const JobRequest &request, const CallDone &done)
 {
     const workload::Job *job = this->node.state().findJob(request.id);
-    if (job == nullptr || job->queue().name != request.queue.name || !maySee(*job, request.queue, request.team)) {
+    if (job == nullptr || job->queue().name != request.queue.name || !canView(*job, request.queue, request.team)) {
         done(answer(work::CallOutcome::UnknownJob, "no such job"));
         return;
     }
     CallResult result = answer(work::CallOutcome::Accepted);
     result.reply.state = job->state();
-    result.reply.message = job->hasEnded() ? job->failure().text() : this->dispatcher.waitOf(request.id);
+    result.reply.message = job->hasEnded() ? job->failure().text() : this->dispatcher.longWaitReason(request.id);
     done(result);
 }
 
 void WorkService::cancel(const JobRequest &request, const CallDone &done)
 {
     const workload::Job *job = this->node.state().findJob(request.id);
-    if (job == nullptr || !maySee(*job, request.queue, request.team)) {
+    if (job == nullptr || !canView(*job, request.queue, request.team)) {
         done(answer(work::CallOutcome::UnknownJob, "no such job"));
         return;
     }
     log::info("jobs", "job.cancelled", {{"job", request.id}});
     work::CancelJobT command;
     command.id = request.id;
-    this->proposeFor(toCommand(std::move(command)), answer(work::CallOutcome::Accepted).reply, done);
+    this->proposeAndReply(toCommand(std::move(command)), answer(work::CallOutcome::Accepted).reply, done);
 }
 
 std::optional<AnnouncementFault> WorkService::faultOf(const work::AnnounceCallT &call) const
@@ -255,7 +255,7 @@
     if (!mayNameAny && this->node.state().findService(registration.service) == nullptr) {
         return AnnouncementFault::UnknownService;
     }
-    if (this->dispatcher.isImplausibleAnnouncement(workload::lifeOf(registration), call.sequence)) {
+    if (this->dispatcher.isImplausibleAnnouncement(workload::incarnationOf(registration), call.sequence)) {
         return AnnouncementFault::ImplausibleSequence;
     }
     // A worker that has once told when it was born always does.
@@ -273,21 +273,21 @@
 {
     const work::RegisterWorkerT &registration = *call.registration;
     if (const std::optional<AnnouncementFault> fault = this->faultOf(call)) {
-        noteRefusedAnnouncement(this->counters, registration.id, *fault, registration.service);
+        reportRefusedAnnouncement(this->counters, registration.id, *fault, registration.service);
         done(answer(work::CallOutcome::Refused, nameOf(*fault)));
         return;
     }
-    const workload::Life life = workload::lifeOf(registration);
+    const workload::Incarnation life = workload::incarnationOf(registration);
     const workload::Worker *known = this->node.state().findWorker(life);
     const workload::Worker *latest = this->node.state().findLatestWorker(life.id);
-    const bool isOver = latest != nullptr && workload::lifeOf(latest->registration).isAfter(life);
+    const bool isOver = latest != nullptr && workload::incarnationOf(latest->registration).isAfter(life);
     const bool isStale = known != nullptr && (call.sequence < known->registration.sequence || this->dispatcher.isStaleAnnouncement(life, call.sequence));
     if (isOver || isStale) {
         done(answer(work::CallOutcome::Accepted));
         return;
     }
     const Duration drainRemaining = registration.isDraining ? absl::Milliseconds(call.drainRemainingMillis) : absl::InfiniteDuration();
-    this->dispatcher.noteAnnouncement(now, life, call.sequence, drainRemaining);
+    this->dispatcher.recordAnnouncement(now, life, call.sequence, drainRemaining);
     if (known != nullptr && (workload::isSameRegistration(known->registration, registration) || (known->registration.isDraining && !registration.isDraining))) {
         done(answer(work::CallOutcome::Accepted));
         return;
@@ -307,40 +307,40 @@
                {"sequence", call.sequence}});
     work::RegisterWorkerT command = registration;
     command.sequence = call.sequence;
-    this->proposeFor(toCommand(std::move(command)), answer(work::CallOutcome::Accepted).reply, done);
+    this->proposeAndReply(toCommand(std::move(command)), answer(work::CallOutcome::Accepted).reply, done);
 }
 
-void WorkService::noteHeartbeats(Timestamp now, const work::HeartbeatsCallT &call, const CallDone &done)
+void WorkService::recordHeartbeats(Timestamp now, const work::HeartbeatsCallT &call, const CallDone &done)
 {
     for (const auto &heartbeat : call.heartbeats) {
-        const workload::Life life{heartbeat->worker, heartbeat->born};
+        const workload::Incarnation life{heartbeat->worker, heartbeat->born};
         if (!this->dispatcher.isStaleAnnouncement(life, heartbeat->sequence) && !this->dispatcher.isImplausibleAnnouncement(life, heartbeat->sequence)) {
-            this->dispatcher.noteAnnouncement(now, life, heartbeat->sequence, absl::InfiniteDuration());
+            this->dispatcher.recordAnnouncement(now, life, heartbeat->sequence, absl::InfiniteDuration());
         }
     }
     done(answer(work::CallOutcome::Accepted));
 }
 
-std::optional<workload::Life> WorkService::leavingLife(Timestamp now, const work::WithdrawCallT &call) const
+std::optional<workload::Incarnation> WorkService::withdrawnIncarnation(Timestamp now, const work::WithdrawCallT &call) const
 {
     const workload::Worker *latest = this->node.state().findLatestWorker(call.id);
     if (call.born > 0) {
-        const workload::Life life{call.id, call.born};
+        const workload::Incarnation life{call.id, call.born};
         return this->node.state().findWorker(life) == nullptr ? std::nullopt : std::optional(life);
     }
     if (latest == nullptr || latest->registration.born == 0) {
-        return workload::Life{call.id};
+        return workload::Incarnation{call.id};
     }
     // It may be late, from an earlier life: only one that was about to leave can have sent it.
-    const workload::Life life = workload::lifeOf(latest->registration);
+    const workload::Incarnation life = workload::incarnationOf(latest->registration);
     return this->dispatcher.mayHaveLeft(now, life) ? std::optional(life) : std::nullopt;
 }
 
 void WorkService::withdraw(Timestamp now, const work::WithdrawCallT &call, const CallDone &done)
 {
-    const std::optional<workload::Life> life = this->leavingLife(now, call);
+    const std::optional<workload::Incarnation> life = this->withdrawnIncarnation(now, call);
     if (!life) {
-        log::info("workers", "withdrawal.late", {{"worker", workload::Life{call.id, call.born}.text()}});
+        log::info("workers", "withdrawal.late", {{"worker", workload::Incarnation{call.id, call.born}.text()}});
         done(answer(work::CallOutcome::Accepted));
         return;
     }
@@ -348,7 +348,7 @@
     work::RemoveWorkerT command;
     command.id = life->id;
     command.born = life->born;
-    this->proposeFor(toCommand(std::move(command)), answer(work::CallOutcome::Accepted).reply, done);
+    this->proposeAndReply(toCommand(std::move(command)), answer(work::CallOutcome::Accepted).reply, done);
 }
 
 void WorkService::configure(work::ConfigureCallT call, const CallDone &done)
@@ -362,7 +362,7 @@
         done(answer(work::CallOutcome::Accepted));
         return;
     }
-    this->proposeFor(toCommand(std::move(*call.change)), answer(work::CallOutcome::Accepted).reply, done);
+    this->proposeAndReply(toCommand(std::move(*call.change)), answer(work::CallOutcome::Accepted).reply, done);
 }
 
 void WorkService::readConfiguration(const CallDone &done)
@@ -388,12 +388,12 @@
     const std::string event = absl::StrCat(call.change->isEvacuated ? "evacuation." : "evacuation-end.", isHeld ? "kept" : "proposed");
     log::info("operations", event, {{"dataCentre", call.change->dataCentre}, {"evacuated", this->node.state().evacuatedDataCentres().size()}});
     this->evacuationChanges.add(isHeld ? 0 : 1);
-    this->proposeFor(toCommand(std::move(*call.change)), answer(work::CallOutcome::Accepted).reply, done);
+    this->proposeAndReply(toCommand(std::move(*call.change)), answer(work::CallOutcome::Accepted).reply, done);
 }
 
 void WorkService::presence(Timestamp now, const std::string &fromInstance, const CallDone &done)
 {
-    this->callers.noteAlive(now, fromInstance);
+    this->callers.markAlive(now, fromInstance);
     CallResult result = answer(work::CallOutcome::Accepted);
     for (const std::string &instance : this->node.knownInstances()) {
         result.reply.coreInstances.push_back(instance);
@@ -401,20 +401,21 @@
     done(result);
 }
 
-void WorkService::ask(Timestamp now, const execution::AdviceQuestion &question)
+void WorkService::requestAdvice(Timestamp now, const execution::AdviceRequest &question)
 {
-    const AdviceChoice choice = this->callers.choose(now, question.cost);
+    const AssignedCaller choice = this->callers.assignCaller(now, question.decisionTime);
     const std::string &caller = choice.instance;
     if (caller.empty()) {
-        this->dispatcher.takeAdvice(now, question.id, {});
+        this->dispatcher.handleAdvice(now, question.id, {});
         return;
     }
     work::AdviceCallT call;
     call.step = question.step.text();
-    std::transform(question.workers.begin(), question.workers.end(), std::back_inserter(call.workers), [](const workload::Life &life) { return life.id; });
+    std::transform(
+        question.workers.begin(), question.workers.end(), std::back_inserter(call.workers), [](const workload::Incarnation &life) { return life.id; });
     this->adviceCalls.add();
-    const Timestamp deadline = choice.expectedAt + adviceSlack + question.cost / 2;
-    this->askThroughInstance(caller, call, deadline, [this, alive = this->isAlive, caller, now, question](const execution::AdviceAnswer &received) {
+    const Timestamp deadline = choice.expectedAt + adviceSlack + question.decisionTime / 2;
+    this->requestAdviceVia(caller, call, deadline, [this, alive = this->isTermActive, caller, now, question](const execution::AdviceAnswer &received) {
         if (!*alive) {
             return;
         }
@@ -424,50 +425,50 @@
                   {{"step", question.step.text()},
                    {"caller", caller},
                    {"asked", question.workers.size()},
-                   {"permitted", received.good.size()},
+                   {"permitted", received.tickets.size()},
                    {"millis", absl::ToInt64Milliseconds(answeredAt - now)},
-                   {"expectedMillis", absl::ToInt64Milliseconds(question.cost)}});
-        this->callers.noteEnd(answeredAt, caller, question.cost);
+                   {"expectedMillis", absl::ToInt64Milliseconds(question.decisionTime)}});
+        this->callers.recordCompletion(answeredAt, caller, question.decisionTime);
         if (!received.isAnswered) {
-            this->callers.noteFailure(answeredAt, caller);
+            this->callers.recordFailure(answeredAt, caller);
         }
-        this->dispatcher.takeAdvice(answeredAt, question.id, received);
+        this->dispatcher.handleAdvice(answeredAt, question.id, received);
     });
 }
 
 void WorkService::step(Timestamp now)
 {
     execution::DispatchEffects effects = this->dispatcher.step(now, wallMicros() / 1000, [this, now] {
-        return planning::QuestionBudget{this->callers.freeForLong(now), this->callers.timeForShort(now)};
+        return planning::AdviceBudget{this->callers.availableForLong(now), this->callers.timeAvailableForShort(now)};
     });
     if (effects.hasPlanned) {
         const Timestamp plannedAt = controlNow();
-        this->dispatcher.notePlanTime(plannedAt, plannedAt - now);
+        this->dispatcher.recordPlanTime(plannedAt, plannedAt - now);
     }
     this->longWaits.add(static_cast<std::int64_t>(effects.longWaits));
     this->teamsAtQuota.add(static_cast<std::int64_t>(effects.teamsAtQuota));
     for (execution::Proposal &proposal : effects.proposals) {
         const auto *removal = proposal.command.AsRemoveWorker();
         this->lostWorkers.add(removal != nullptr && removal->end != work::LifeEnd::Left ? 1 : 0);
-        this->propose(std::move(proposal.command), [this, alive = this->isAlive, id = proposal.id](const workload::Outcome &outcome) {
+        this->propose(std::move(proposal.command), [this, alive = this->isTermActive, id = proposal.id](const workload::Outcome &outcome) {
             if (*alive) {
-                this->givenUpTasks.add(static_cast<std::int64_t>(outcome.givenUp.size()));
-                this->dispatcher.takeOutcome(controlNow(), id, outcome);
+                this->givenUpTasks.add(static_cast<std::int64_t>(outcome.abandonedTasks.size()));
+                this->dispatcher.handleOutcome(controlNow(), id, outcome);
             }
         });
     }
     for (const execution::WorkerCall &call : effects.calls) {
         this->workerCalls.add();
-        this->workers.call(call, [this, alive = this->isAlive, id = call.id, now](const execution::WorkerAnswer &received) {
+        this->workers.call(call, [this, alive = this->isTermActive, id = call.id, now](const execution::WorkerAnswer &received) {
             if (*alive) {
                 const Timestamp answeredAt = controlNow();
                 this->workerCallTimes.record(answeredAt - now);
-                this->dispatcher.takeAnswer(answeredAt, id, received);
+                this->dispatcher.handleAnswer(answeredAt, id, received);
             }
         });
     }
-    for (const execution::AdviceQuestion &question : effects.questions) {
-        this->ask(now, question);
+    for (const execution::AdviceRequest &question : effects.adviceRequests) {
+        this->requestAdvice(now, question);
     }
 }
 
--- a/paddlepier/cluster/workservice.h
+++ b/paddlepier/cluster/workservice.h
@@ -9,7 +9,7 @@
 #define PADDLEPIER_CLUSTER_WORKSERVICE_H
 
 #include "paddlepier/base/counters.h"
-#include "paddlepier/cluster/advicecallers.h"
+#include "paddlepier/cluster/advicecallerpool.h"
 #include "paddlepier/cluster/announcementfault.h"
 #include "paddlepier/cluster/authentication.h"
 #include "paddlepier/cluster/ports.h"
@@ -29,7 +29,7 @@
 using WorkloadNode = replication::ReplicaNode<workload::Workload>;
 
 /** Asks through another instance. */
-using AskThrough =
+using RequestAdviceVia =
     std::function<void(const std::string &instance, const work::AdviceCallT &call, Timestamp deadline, std::function<void(execution::AdviceAnswer)> done)>;
 
 struct WorkOptions {
@@ -43,8 +43,8 @@
     WorkService(WorkloadNode &workloadNode,
                 const WorkOptions &options,
                 WorkerPort workerPort,
-                AskThrough askThrough,
-                AdviceCallers &adviceCallers,
+                RequestAdviceVia askThrough,
+                AdviceCallerPool &adviceCallers,
                 Counters &processCounters,
                 Timestamp now);
     ~WorkService();
@@ -71,25 +71,25 @@
     std::optional<AnnouncementFault> faultOf(const work::AnnounceCallT &call) const;
     void announce(Timestamp now, const work::AnnounceCallT &call, const CallDone &done);
     /** Other instances have answered these announcements. */
-    void noteHeartbeats(Timestamp now, const work::HeartbeatsCallT &call, const CallDone &done);
+    void recordHeartbeats(Timestamp now, const work::HeartbeatsCallT &call, const CallDone &done);
     /** The life that a withdrawal speaks of; nothing if it may be one that is over. */
-    std::optional<workload::Life> leavingLife(Timestamp now, const work::WithdrawCallT &call) const;
+    std::optional<workload::Incarnation> withdrawnIncarnation(Timestamp now, const work::WithdrawCallT &call) const;
     void withdraw(Timestamp now, const work::WithdrawCallT &call, const CallDone &done);
     void configure(work::ConfigureCallT call, const CallDone &done);
     void readConfiguration(const CallDone &done);
     void evacuate(work::EvacuateCallT call, const CallDone &done);
     void presence(Timestamp now, const std::string &fromInstance, const CallDone &done);
-    void ask(Timestamp now, const execution::AdviceQuestion &question);
+    void requestAdvice(Timestamp now, const execution::AdviceRequest &question);
 
     void propose(work::CommandUnion command, WorkloadNode::Completed completed);
     /** Answers @p reply once the command is committed, and a failure as what it is. */
-    void proposeFor(work::CommandUnion command, work::WorkReplyT reply, const CallDone &done);
+    void proposeAndReply(work::CommandUnion command, work::WorkReplyT reply, const CallDone &done);
 
     WorkloadNode &node;
     const CallerKeys callerKeys;
     const WorkerPort workers;
-    const AskThrough askThroughInstance;
-    AdviceCallers &callers;
+    const RequestAdviceVia requestAdviceVia;
+    AdviceCallerPool &callers;
     Counters &counters;
     Counter &submittedJobs;
     Counter &workerCalls;
@@ -102,7 +102,7 @@
     Histogram &workerCallTimes;
     execution::Dispatcher dispatcher;
     /** Lets callbacks find out that the term is over. */
-    std::shared_ptr<bool> isAlive;
+    std::shared_ptr<bool> isTermActive;
 };
 
 } // namespace paddlepier::cluster
--- a/paddlepier/consensus/admission.cpp
+++ b/paddlepier/consensus/admission.cpp
@@ -61,37 +61,37 @@
 
 void Admission::request(const std::string &instance, const std::string &replica)
 {
-    this->waiting[instance] = replica;
+    this->pendingRequests[instance] = replica;
 }
 
 void Admission::advance(Replica &replica, Timestamp now)
 {
     if (!replica.isLeader()) {
         // Whoever asked then may have another replica by the time at which this one leads again.
-        this->waiting.clear();
+        this->pendingRequests.clear();
         return;
     }
     this->demoteSurplus(replica, now);
-    for (auto entry = this->waiting.begin(); entry != this->waiting.end();) {
+    for (auto entry = this->pendingRequests.begin(); entry != this->pendingRequests.end();) {
         if (!replica.isCaughtUpLeader() || replica.hasPendingMembership()) {
             return;
         }
-        entry = this->admit(replica, entry->first, entry->second, now) ? this->waiting.erase(entry) : std::next(entry);
+        entry = this->admit(replica, entry->first, entry->second, now) ? this->pendingRequests.erase(entry) : std::next(entry);
     }
 }
 
 void Admission::demoteSurplus(Replica &replica, Timestamp now) const
 {
-    const bool hasSurplus = replica.membership().voters.size() > this->limits.mostVoters;
+    const bool hasSurplus = replica.membership().voters.size() > this->limits.maxVoters;
     if (!hasSurplus || !replica.isCaughtUpLeader() || replica.hasPendingMembership()) {
         return;
     }
     wire::MembershipT next = replica.membership();
-    std::string surplus = this->silentVoter(replica, now);
-    surplus = surplus.empty() ? this->mostCrowded(replica) : surplus;
+    std::string surplus = this->unresponsiveVoter(replica, now);
+    surplus = surplus.empty() ? this->voterInLargestDataCentre(replica) : surplus;
     eraseName(next.voters, surplus);
     next.learners.push_back(surplus);
-    this->change(replica, next, Step::Removed, surplus, now);
+    this->proposeChange(replica, next, Step::Removed, surplus, now);
 }
 
 bool Admission::admit(Replica &replica, const std::string &instance, const std::string &newcomer, Timestamp now) const
@@ -103,33 +103,33 @@
     if (!holdsName(next.learners, newcomer)) {
         eraseName(next.learners, olderReplica(next.learners, instance, newcomer));
         next.learners.push_back(newcomer);
-        this->change(replica, next, Step::Learns, newcomer, now);
+        this->proposeChange(replica, next, Step::Learns, newcomer, now);
         return false;
     }
     // A newcomer that counts for a majority before it holds the whole log durably would make the group wait for it.
     if (replica.matchOf(newcomer) < replica.commitIndex()) {
         return false;
     }
-    const std::string gone = this->replaceable(replica, instance, newcomer, now);
+    const std::string gone = this->voterToReplace(replica, instance, newcomer, now);
     if (!gone.empty()) {
         eraseName(next.voters, gone);
-        this->change(replica, next, Step::Removed, gone, now);
+        this->proposeChange(replica, next, Step::Removed, gone, now);
         return false;
     }
-    if (next.voters.size() > this->limits.mostVoters || (next.voters.size() == this->limits.mostVoters && !this->isCrowded(replica, instance, now))) {
+    if (next.voters.size() > this->limits.maxVoters || (next.voters.size() == this->limits.maxVoters && !this->isUnderrepresented(replica, instance, now))) {
         return true;
     }
     // Beyond the bound it votes before another voter is demoted: with one less, a disk that is lost meanwhile could end the group.
     eraseName(next.learners, newcomer);
     next.voters.push_back(newcomer);
-    this->change(replica, next, Step::Votes, newcomer, now);
+    this->proposeChange(replica, next, Step::Votes, newcomer, now);
     return false;
 }
 
-void Admission::change(Replica &replica, const wire::MembershipT &next, Step step, const std::string &subject, Timestamp now) const
+void Admission::proposeChange(Replica &replica, const wire::MembershipT &next, Step step, const std::string &subject, Timestamp now) const
 {
     // A change that no majority of its voters can agree on would leave the group without a leader for good where one of them is gone.
-    if (replica.hearsMajorityOf(next.voters, now) && replica.proposeMembership(next)) {
+    if (replica.isInContactWithMajorityOf(next.voters, now) && replica.proposeMembership(next)) {
         this->observer(step, subject);
     }
 }
@@ -143,11 +143,11 @@
     return voters;
 }
 
-bool Admission::isCrowded(const Replica &replica, const std::string &instance, Timestamp now) const
+bool Admission::isUnderrepresented(const Replica &replica, const std::string &instance, Timestamp now) const
 {
     const std::string own = this->limits.dataCentreOf(instance);
     const std::map<std::string, std::vector<std::string>> voters = this->votersByDataCentre(replica);
-    if (own.empty() || voters.contains("") || !this->silentVoter(replica, now).empty()) {
+    if (own.empty() || voters.contains("") || !this->unresponsiveVoter(replica, now).empty()) {
         return false;
     }
     const auto known = voters.find(own);
@@ -155,7 +155,7 @@
     return std::any_of(voters.begin(), voters.end(), [ownVoters](const auto &entry) { return entry.second.size() >= ownVoters + leastSurplus; });
 }
 
-std::string Admission::mostCrowded(const Replica &replica) const
+std::string Admission::voterInLargestDataCentre(const Replica &replica) const
 {
     std::string found;
     std::size_t most = 0;
@@ -169,19 +169,19 @@
     return found;
 }
 
-std::string Admission::silentVoter(const Replica &replica, Timestamp now) const
+std::string Admission::unresponsiveVoter(const Replica &replica, Timestamp now) const
 {
     const std::vector<std::string> &voters = replica.membership().voters;
-    const auto isSilent = [&](const std::string &voter) { return now - replica.lastReplyOf(voter, now) > this->limits.silence; };
+    const auto isSilent = [&](const std::string &voter) { return now - replica.lastReplyOf(voter, now) > this->limits.voterTimeout; };
     const auto found = std::find_if(voters.begin(), voters.end(), isSilent);
     return found == voters.end() ? "" : *found;
 }
 
-std::string Admission::replaceable(const Replica &replica, const std::string &instance, const std::string &newcomer, Timestamp now) const
+std::string Admission::voterToReplace(const Replica &replica, const std::string &instance, const std::string &newcomer, Timestamp now) const
 {
     const std::vector<std::string> &voters = replica.membership().voters;
     std::string older = olderReplica(voters, instance, newcomer);
-    return !older.empty() || voters.size() < this->limits.mostVoters ? older : this->silentVoter(replica, now);
+    return !older.empty() || voters.size() < this->limits.maxVoters ? older : this->unresponsiveVoter(replica, now);
 }
 
 } // namespace paddlepier::consensus
--- a/paddlepier/consensus/admission.h
+++ b/paddlepier/consensus/admission.h
@@ -40,8 +40,8 @@
 
     /** How many voters there may be, and when one counts as gone. */
     struct Limits {
-        std::size_t mostVoters = std::numeric_limits<std::size_t>::max();
-        Duration silence = absl::InfiniteDuration();
+        std::size_t maxVoters = std::numeric_limits<std::size_t>::max();
+        Duration voterTimeout = absl::InfiniteDuration();
         /** Where an instance is; empty while it isn't known. */
         std::function<std::string(const std::string &instance)> dataCentreOf = [](const std::string &) { return std::string(); };
     };
@@ -58,23 +58,23 @@
     /** @return true if there is nothing to be done until the newcomer asks again */
     bool admit(Replica &replica, const std::string &instance, const std::string &newcomer, Timestamp now) const;
     /** A voter that is over: an older replica of the same instance, or one that has been silent; empty if there is none. */
-    std::string replaceable(const Replica &replica, const std::string &instance, const std::string &newcomer, Timestamp now) const;
+    std::string voterToReplace(const Replica &replica, const std::string &instance, const std::string &newcomer, Timestamp now) const;
 
     /** Proposes @p next if a majority of its voters answers. */
-    void change(Replica &replica, const wire::MembershipT &next, Step step, const std::string &subject, Timestamp now) const;
+    void proposeChange(Replica &replica, const wire::MembershipT &next, Step step, const std::string &subject, Timestamp now) const;
     /** While there are more voters than there may be, one of them goes on as a learner. */
     void demoteSurplus(Replica &replica, Timestamp now) const;
     std::map<std::string, std::vector<std::string>> votersByDataCentre(const Replica &replica) const;
     /** All voters answer, and a data centre has so many more of them than that of @p instance that one had better stand there. */
-    bool isCrowded(const Replica &replica, const std::string &instance, Timestamp now) const;
+    bool isUnderrepresented(const Replica &replica, const std::string &instance, Timestamp now) const;
     /** A voter in the data centre that has most; never the leader. */
-    std::string mostCrowded(const Replica &replica) const;
+    std::string voterInLargestDataCentre(const Replica &replica) const;
     /** Empty if all answer. */
-    std::string silentVoter(const Replica &replica, Timestamp now) const;
+    std::string unresponsiveVoter(const Replica &replica, Timestamp now) const;
 
     const Observer observer;
     const Limits limits;
-    std::map<std::string, std::string> waiting;
+    std::map<std::string, std::string> pendingRequests;
 };
 
 const char *nameOf(Admission::Step step);
--- a/paddlepier/consensus/admission_test.cpp
+++ b/paddlepier/consensus/admission_test.cpp
@@ -26,8 +26,8 @@
     static FakeGroupFaults calm(bool knowsDataCentres)
     {
         FakeGroupFaults surroundings;
-        surroundings.limits.mostVoters = voters;
-        surroundings.limits.silence = absl::Milliseconds(2500);
+        surroundings.limits.maxVoters = voters;
+        surroundings.limits.voterTimeout = absl::Milliseconds(2500);
         if (knowsDataCentres) {
             surroundings.limits.dataCentreOf = [](const std::string &instance) {
                 int number = 0;
@@ -67,7 +67,7 @@
     {
         FakeGroup group(instances, {}, seed, surroundings);
         playFaults(group, seed);
-        group.settle();
+        group.recoverAndVerify();
         return group.violation().value_or("none");
     }
 
@@ -114,7 +114,7 @@
 {
     constexpr std::uint64_t seed = 107;
     FakeGroupFaults surroundings = calm(true);
-    surroundings.removedVotersAsk = false;
+    surroundings.removedVotersRequestAdmission = false;
     CHECK(violationAfterFaults(seed, surroundings) != "none");
 }
 
--- a/paddlepier/consensus/fakegroup.h
+++ b/paddlepier/consensus/fakegroup.h
@@ -37,7 +37,7 @@
     Thaw,
     LoseDisk,
     SlowDisk,
-    Lossy,
+    LoseMessages,
     HandOver,
     /** One member loses its disk, and all others lose power at the same moment. */
     LoseDiskAndPower,
@@ -49,9 +49,9 @@
     /** A replica whose disk was lost comes back under its old name: the fault that minting prevents. */
     bool keepIdentity = false;
     /** Clocks stand still while their member is frozen, as a suspended machine's steady clock does. */
-    bool clocksMissFreezes = false;
+    bool clocksStopWhileFrozen = false;
     /** A voter that was removed while it couldn't be reached asks to be admitted once it has heard no leader for long. */
-    bool removedVotersAsk = true;
+    bool removedVotersRequestAdmission = true;
     /** How many vote, and where instances are. */
     Admission::Limits limits = {};
 };
@@ -73,7 +73,7 @@
     /** Does one step of a scenario. */
     void step(const FaultStep &faultStep);
     /** Mends everything and checks that the group works and has lost nothing. */
-    void settle();
+    void recoverAndVerify();
     /** The first broken promise, if any. */
     const std::optional<std::string> &violation() const;
 
@@ -92,7 +92,7 @@
         bool slowDisk = false;
         double clockRate = 1;
         /** For how long it was frozen in all. */
-        Duration frozenInAll;
+        Duration totalFrozen;
         Index applied = 0;
         Timestamp leaderSeenAt = absl::InfinitePast();
         std::uint32_t generation = 0;
@@ -109,26 +109,26 @@
     void run(Duration duration);
     void tickAll();
     /** Asks every leader that can be reached to be admitted, as ReplicaNode does. */
-    void seekAdmission(std::size_t index);
+    void requestAdmission(std::size_t index);
     void deliver();
     void processMember(std::size_t index);
     void finishWrites(std::size_t index);
     static void applyWrite(Member &member, const Effects &effects, std::size_t mostEntries);
-    void post(std::size_t from, std::vector<Outbound> &messages);
+    void post(std::size_t from, std::vector<OutboundMessage> &messages);
     void apply(std::size_t index, const std::vector<wire::LogRecordT> &entries);
     void start(std::size_t index);
     void crash(std::size_t index);
     void loseDisk(std::size_t index);
     void loseDiskAndPower(std::size_t index);
-    void comeBackEmpty(std::size_t index);
-    bool isWholeGroup() const;
+    void restartWithEmptyDisk(std::size_t index);
+    bool hasFullMembership() const;
     void proposeAtLeaders();
     void checkLeases();
     /** No learner is a replica that is gone for good. */
     void checkLearners();
     void fail(const std::string &what);
     Timestamp clockOf(const Member &member) const;
-    std::size_t chance(std::size_t bound);
+    std::size_t randomBelow(std::size_t bound);
 
     const ReplicaGuards guards;
     const FakeGroupFaults faults;
@@ -141,7 +141,7 @@
     std::uint64_t nextCommand = 1;
     // The oracle: what was given out as committed, by index.
     std::map<Index, std::string> committed;
-    std::optional<std::string> broken;
+    std::optional<std::string> firstViolation;
 };
 
 } // namespace paddlepier::consensus
--- a/paddlepier/consensus/fakegroup_test.cpp
+++ b/paddlepier/consensus/fakegroup_test.cpp
@@ -36,14 +36,14 @@
 {
     for (std::size_t index = 0; index < size; ++index) {
         // Within the drift bound of 10 per mille.
-        this->members[index].clockRate = 1.0 + (static_cast<double>(this->chance(17)) - 8) / 1000;
+        this->members[index].clockRate = 1.0 + (static_cast<double>(this->randomBelow(17)) - 8) / 1000;
         this->start(index);
     }
-    this->members[0].replica->formGroup(this->clockOf(this->members[0]));
+    this->members[0].replica->bootstrapGroup(this->clockOf(this->members[0]));
     this->run(absl::Seconds(4));
 }
 
-std::size_t FakeGroup::chance(std::size_t bound)
+std::size_t FakeGroup::randomBelow(std::size_t bound)
 {
     return std::uniform_int_distribution<std::size_t>(0, bound - 1)(this->random);
 }
@@ -55,19 +55,19 @@
 
 const std::optional<std::string> &FakeGroup::violation() const
 {
-    return this->broken;
+    return this->firstViolation;
 }
 
 void FakeGroup::fail(const std::string &what)
 {
-    if (!this->broken) {
-        this->broken = what;
+    if (!this->firstViolation) {
+        this->firstViolation = what;
     }
 }
 
 Timestamp FakeGroup::clockOf(const Member &member) const
 {
-    const Duration missed = this->faults.clocksMissFreezes ? member.frozenInAll : absl::ZeroDuration();
+    const Duration missed = this->faults.clocksStopWhileFrozen ? member.totalFrozen : absl::ZeroDuration();
     return absl::UnixEpoch() + (this->now - missed - absl::UnixEpoch()) * member.clockRate;
 }
 
@@ -113,15 +113,15 @@
         return;
     }
     // Of the write under way, a beginning may have reached the disk; a snapshot is renamed whole or not at all.
-    if (!member.writes.empty() && !member.writes.front().effects.snapshot && this->chance(2) == 0) {
-        applyWrite(member, member.writes.front().effects, this->chance(4));
+    if (!member.writes.empty() && !member.writes.front().effects.snapshot && this->randomBelow(2) == 0) {
+        applyWrite(member, member.writes.front().effects, this->randomBelow(4));
     }
     member.writes.clear();
     member.replica.reset();
     member.frozen = false;
 }
 
-bool FakeGroup::isWholeGroup() const
+bool FakeGroup::hasFullMembership() const
 {
     return std::any_of(this->members.begin(), this->members.end(), [this](const Member &leader) {
         if (!leader.replica || !leader.replica->isCaughtUpLeader() || leader.replica->hasPendingMembership()) {
@@ -131,7 +131,7 @@
         const auto votes = [&membership](const Member &member) {
             return std::find(membership.voters.begin(), membership.voters.end(), member.identity) != membership.voters.end();
         };
-        const std::size_t wanted = std::min(this->members.size(), this->faults.limits.mostVoters);
+        const std::size_t wanted = std::min(this->members.size(), this->faults.limits.maxVoters);
         const auto voting = static_cast<std::size_t>(std::count_if(this->members.begin(), this->members.end(), votes));
         return membership.voters.size() == wanted && voting == wanted;
     });
@@ -140,23 +140,23 @@
 void FakeGroup::loseDisk(std::size_t index)
 {
     // One lost disk at a time is what a group of three promises to stand; the next one may come right after the repair.
-    if (this->isWholeGroup()) {
-        this->comeBackEmpty(index);
+    if (this->hasFullMembership()) {
+        this->restartWithEmptyDisk(index);
     }
 }
 
 void FakeGroup::loseDiskAndPower(std::size_t index)
 {
-    if (!this->isWholeGroup()) {
+    if (!this->hasFullMembership()) {
         return;
     }
     for (std::size_t other = 0; other < this->members.size(); ++other) {
         this->crash(other);
     }
-    this->comeBackEmpty(index);
+    this->restartWithEmptyDisk(index);
 }
 
-void FakeGroup::comeBackEmpty(std::size_t index)
+void FakeGroup::restartWithEmptyDisk(std::size_t index)
 {
     this->crash(index);
     this->members[index].disk = storage::RecoveredState();
@@ -218,7 +218,7 @@
     case Fault::SlowDisk:
         member.slowDisk = !member.slowDisk;
         break;
-    case Fault::Lossy:
+    case Fault::LoseMessages:
         this->lossPercent = faultStep.first % 40;
         break;
     case Fault::LoseDiskAndPower:
@@ -226,7 +226,7 @@
         break;
     case Fault::HandOver:
         if (member.replica && !member.frozen) {
-            member.replica->handOver(this->clockOf(member));
+            member.replica->transferLeadership(this->clockOf(member));
         }
         break;
     }
@@ -236,10 +236,10 @@
 void FakeGroup::run(Duration duration)
 {
     const Timestamp end = this->now + duration;
-    while (this->now < end && !this->broken) {
+    while (this->now < end && !this->firstViolation) {
         this->now += stepTime;
         for (Member &member : this->members) {
-            member.frozenInAll += member.frozen ? stepTime : absl::ZeroDuration();
+            member.totalFrozen += member.frozen ? stepTime : absl::ZeroDuration();
         }
         this->deliver();
         this->tickAll();
@@ -255,13 +255,13 @@
             continue;
         }
         member.replica->tick(this->clockOf(member));
-        this->seekAdmission(index);
+        this->requestAdmission(index);
         member.admission->advance(*member.replica, this->clockOf(member));
         this->processMember(index);
     }
 }
 
-void FakeGroup::seekAdmission(std::size_t index)
+void FakeGroup::requestAdmission(std::size_t index)
 {
     Member &member = this->members[index];
     if (!member.replica->leader().empty()) {
@@ -269,7 +269,7 @@
     }
     const std::vector<std::string> &voters = member.replica->membership().voters;
     const bool votes = std::find(voters.begin(), voters.end(), member.identity) != voters.end();
-    const bool mayBeRemoved = this->faults.removedVotersAsk && this->now - member.leaderSeenAt > leaderSilence;
+    const bool mayBeRemoved = this->faults.removedVotersRequestAdmission && this->now - member.leaderSeenAt > leaderSilence;
     for (std::size_t other = 0; (!votes || mayBeRemoved) && other < this->members.size(); ++other) {
         Member &leader = this->members[other];
         if (leader.replica && !leader.frozen && leader.replica->isLeader() && !this->cuts.contains({index, other})) {
@@ -283,8 +283,8 @@
     Member &member = this->members[index];
     this->finishWrites(index);
     member.replica->replicate(this->clockOf(member));
-    Effects effects = member.replica->takeEffects();
-    this->post(index, effects.now);
+    Effects effects = member.replica->drainEffects();
+    this->post(index, effects.immediate);
     if (effects.resetToSnapshot) {
         member.applied = effects.snapshot->index;
     }
@@ -313,14 +313,14 @@
     }
 }
 
-void FakeGroup::post(std::size_t from, std::vector<Outbound> &messages)
+void FakeGroup::post(std::size_t from, std::vector<OutboundMessage> &messages)
 {
-    for (Outbound &outbound : messages) {
+    for (OutboundMessage &outbound : messages) {
         const std::size_t to = static_cast<std::size_t>(outbound.to[1] - '0');
-        const std::size_t copies = this->chance(100) < this->lossPercent ? 0 : this->chance(100) < this->lossPercent / 2 ? 2 : 1;
+        const std::size_t copies = this->randomBelow(100) < this->lossPercent ? 0 : this->randomBelow(100) < this->lossPercent / 2 ? 2 : 1;
         for (std::size_t copy = 0; copy < copies; ++copy) {
             const std::size_t spread = this->lossPercent > 0 ? 30 : 2;
-            Message message{this->now + stepTime * (1 + this->chance(spread)), from, to, this->members[from].identity, outbound.to, outbound.body};
+            Message message{this->now + stepTime * (1 + this->randomBelow(spread)), from, to, this->members[from].identity, outbound.to, outbound.body};
             this->network.push_back(std::move(message));
         }
     }
@@ -388,7 +388,7 @@
     }
 }
 
-void FakeGroup::settle()
+void FakeGroup::recoverAndVerify()
 {
     this->cuts.clear();
     this->lossPercent = 0;
@@ -403,7 +403,7 @@
     this->proposeAtLeaders();
     this->run(absl::Seconds(2));
     const Index last = this->committed.empty() ? 0 : this->committed.rbegin()->first;
-    if (!this->isWholeGroup()) {
+    if (!this->hasFullMembership()) {
         this->fail("the group is not whole again");
     }
     this->checkLearners();
--- a/paddlepier/consensus/leaderpatience.cpp
+++ b/paddlepier/consensus/leadertimeout.cpp
@@ -1,6 +1,6 @@
 // How long a follower waits for a leader that has fallen silent.
 
-#include "paddlepier/consensus/leaderpatience.h"
+#include "paddlepier/consensus/leadertimeout.h"
 
 #include <algorithm>
 
@@ -21,26 +21,26 @@
 
 } // namespace
 
-LeaderPatience::LeaderPatience(Duration leastSilence)
-    : least(leastSilence)
+LeaderTimeout::LeaderTimeout(Duration leastSilence)
+    : minTimeout(leastSilence)
 {
 }
 
-void LeaderPatience::notePause(Duration pause)
+void LeaderTimeout::recordGap(Duration pause)
 {
     // A follower that stood still itself sees a pause of any length: beyond the bound it would only be remembered for longer.
-    const Duration counted = std::min(pause, this->least * mostSilences / pausesMissed);
-    this->longestPause = std::max(counted, this->longestPause * kept);
+    const Duration counted = std::min(pause, this->minTimeout * mostSilences / pausesMissed);
+    this->longestGap = std::max(counted, this->longestGap * kept);
 }
 
-void LeaderPatience::forget()
+void LeaderTimeout::reset()
 {
-    this->longestPause = absl::ZeroDuration();
+    this->longestGap = absl::ZeroDuration();
 }
 
-Duration LeaderPatience::silence() const
+Duration LeaderTimeout::current() const
 {
-    return std::clamp(pausesMissed * this->longestPause, this->least, mostSilences * this->least);
+    return std::clamp(pausesMissed * this->longestGap, this->minTimeout, mostSilences * this->minTimeout);
 }
 
 } // namespace paddlepier::consensus
--- a/paddlepier/consensus/leaderpatience.h
+++ b/paddlepier/consensus/leadertimeout.h
@@ -7,32 +7,32 @@
 //
 // Thread safety: none; owned by a replica.
 
-#ifndef PADDLEPIER_CONSENSUS_LEADERPATIENCE_H
-#define PADDLEPIER_CONSENSUS_LEADERPATIENCE_H
+#ifndef PADDLEPIER_CONSENSUS_LEADERTIMEOUT_H
+#define PADDLEPIER_CONSENSUS_LEADERTIMEOUT_H
 
 #include "paddlepier/base/clock.h"
 
 namespace paddlepier::consensus
 {
 
-class LeaderPatience
+class LeaderTimeout
 {
 public:
     /** @param least the wait while messages come in time */
-    explicit LeaderPatience(Duration least);
+    explicit LeaderTimeout(Duration least);
 
     /** Two messages of one leader came @p pause apart. */
-    void notePause(Duration pause);
+    void recordGap(Duration pause);
     /** Another leader: what was seen of the last one says nothing about it. */
-    void forget();
+    void reset();
 
     /** Shortest silence after which the leader is taken to be gone. */
-    Duration silence() const;
+    Duration current() const;
 
 private:
-    const Duration least;
+    const Duration minTimeout;
     /** The longest pause seen, less a little with each message since. */
-    Duration longestPause = absl::ZeroDuration();
+    Duration longestGap = absl::ZeroDuration();
 };
 
 } // namespace paddlepier::consensus
--- a/paddlepier/consensus/leaderpatience_test.cpp
+++ b/paddlepier/consensus/leadertimeout_test.cpp
@@ -1,6 +1,6 @@
 // A slow leader keeps its place; one that is gone is missed soon.
 
-#include "paddlepier/consensus/leaderpatience.h"
+#include "paddlepier/consensus/leadertimeout.h"
 #include "paddlepier/consensus/replica.h"
 #include "paddlepier/wire/codec.h"
 
@@ -20,7 +20,7 @@
     FollowerFixture()
     {
         this->settings.self = std::string(1, 'b');
-        this->settings.election = least;
+        this->settings.electionTimeout = least;
         storage::RecoveredState recovered;
         recovered.hardState.term = 1;
         wire::LogRecordT entry;
@@ -45,7 +45,7 @@
         wire::PeerBodyUnion body;
         body.Set(std::move(request));
         this->replica->receive(this->now, "a", std::move(body));
-        this->replica->takeEffects();
+        this->replica->drainEffects();
     }
 
     /** @return true if it has asked for votes meanwhile */
@@ -87,25 +87,25 @@
 
 TEST_CASE("silence_afterAFollowersOwnFreeze_shrinksAgainWithMessagesInTime")
 {
-    LeaderPatience patience(least);
-    patience.notePause(absl::Seconds(60));
+    LeaderTimeout patience(least);
+    patience.recordGap(absl::Seconds(60));
     for (int message = 0; message < 13 * 5; ++message) {
-        patience.notePause(absl::Milliseconds(75));
+        patience.recordGap(absl::Milliseconds(75));
     }
-    CHECK(patience.silence() < 2 * least + absl::Milliseconds(50));
+    CHECK(patience.current() < 2 * least + absl::Milliseconds(50));
 }
 
 TEST_CASE("silence_afterOneLongPause_shrinksAgainWithMessagesInTime")
 {
-    LeaderPatience patience(least);
-    patience.notePause(absl::Seconds(1));
-    CHECK(patience.silence() == 4 * least);
+    LeaderTimeout patience(least);
+    patience.recordGap(absl::Seconds(1));
+    CHECK(patience.current() == 4 * least);
     for (int message = 0; message < 13 * 5; ++message) {
-        patience.notePause(absl::Milliseconds(75));
+        patience.recordGap(absl::Milliseconds(75));
     }
-    CHECK(patience.silence() < 2 * least + absl::Milliseconds(50));
-    patience.forget();
-    CHECK(patience.silence() == least);
+    CHECK(patience.current() < 2 * least + absl::Milliseconds(50));
+    patience.reset();
+    CHECK(patience.current() == least);
 }
 
 } // namespace paddlepier::consensus
--- a/paddlepier/consensus/replica.cpp
+++ b/paddlepier/consensus/replica.cpp
@@ -33,7 +33,7 @@
     , hardState(std::move(recovered.hardState))
     , snapshot(std::move(recovered.snapshot))
     , lastHeardLeader(now) // A restarted voter may have promised a leader its silence just before.
-    , patience(this->settings.election)
+    , leaderTimeout(this->settings.electionTimeout)
     , startedAt(now)
     , termAtStart(this->hardState.term)
 {
@@ -56,13 +56,13 @@
     this->resetElectionTimer(now);
 }
 
-void Replica::formGroup(Timestamp now)
+void Replica::bootstrapGroup(Timestamp now)
 {
     wire::MembershipT first;
     first.voters.push_back(this->settings.self);
     this->hardState.term = 1;
     this->saveHardState();
-    this->appendOwn(wire::EntryKind::Membership, wire::pack(first));
+    this->appendAsLeader(wire::EntryKind::Membership, wire::pack(first));
     this->startElection(now, Election::Vote);
 }
 
@@ -85,23 +85,23 @@
 
 bool Replica::isFreshlyStarted(Timestamp now) const
 {
-    return !this->heardLeader && this->role != ReplicaRole::Leader && now - this->startedAt < 2 * this->settings.election;
+    return !this->heardLeader && this->role != ReplicaRole::Leader && now - this->startedAt < 2 * this->settings.electionTimeout;
 }
 
 bool Replica::hasUnanimousRestart() const
 {
     const std::size_t needed = this->settings.guards.unanimousRestart ? this->members.voters.size() : this->quorum();
-    return !this->heardLeader && this->leaderless.size() >= needed;
+    return !this->heardLeader && this->votersWithoutLeader.size() >= needed;
 }
 
 void Replica::resetElectionTimer(Timestamp now)
 {
     std::uniform_real_distribution<double> spread(1.0, 2.0);
-    Duration shortest = this->patience.silence();
+    Duration shortest = this->leaderTimeout.current();
     if (this->isFreshlyStarted(now) && this->settings.guards.preVote) {
         // Whoever has just voted, for itself or another, gives that election time to end.
         const bool hasVoted = this->hardState.term > this->termAtStart;
-        shortest = this->settings.restartProbe * (hasVoted ? probesOfOneElection : 1);
+        shortest = this->settings.restartPreVoteInterval * (hasVoted ? probesOfOneElection : 1);
     }
     this->electionDeadline = now + shortest * spread(this->random);
 }
@@ -129,7 +129,7 @@
     this->leaderName.clear();
     this->votes.clear();
     this->votes[this->settings.self] = true;
-    this->leaderless = {this->settings.self};
+    this->votersWithoutLeader = {this->settings.self};
     this->role = preVote ? ReplicaRole::PreCandidate : ReplicaRole::Candidate;
     if (!preVote) {
         ++this->hardState.term;
@@ -172,7 +172,7 @@
         progress.lastReply = now;
     }
     // An entry of the own term lets the leader commit what earlier leaders left.
-    this->appendOwn(wire::EntryKind::Empty, "");
+    this->appendAsLeader(wire::EntryKind::Empty, "");
     this->termStartIndex = this->lastIndex();
     this->broadcast(now, true);
 }
@@ -181,7 +181,7 @@
 {
     std::size_t heard = 1;
     for (const auto &[member, progress] : this->progresses) {
-        if (this->isVoter(member) && now - progress.lastReply < 2 * this->settings.election) {
+        if (this->isVoter(member) && now - progress.lastReply < 2 * this->settings.electionTimeout) {
             ++heard;
         }
     }
@@ -196,7 +196,7 @@
 void Replica::tick(Timestamp now)
 {
     if (this->role == ReplicaRole::Leader) {
-        if (!this->stepDownWithoutQuorum(now) && now - this->lastBroadcast >= this->settings.heartbeat) {
+        if (!this->stepDownWithoutQuorum(now) && now - this->lastBroadcast >= this->settings.heartbeatInterval) {
             this->broadcast(now, true);
         }
         return;
@@ -223,9 +223,9 @@
     }
 }
 
-bool Replica::mayVote(Timestamp now, const wire::VoteRequestT &request) const
+bool Replica::canGrantVote(Timestamp now, const wire::VoteRequestT &request) const
 {
-    const bool hearsLeader = this->role == ReplicaRole::Leader || now - this->lastHeardLeader < this->settings.election;
+    const bool hearsLeader = this->role == ReplicaRole::Leader || now - this->lastHeardLeader < this->settings.electionTimeout;
     const bool needNotWait = request.handOver || (request.afterRestart && !this->heardLeader);
     if (this->settings.guards.stickyVotes && hearsLeader && !needNotWait) {
         return false;
@@ -242,7 +242,7 @@
 
 void Replica::onVoteRequest(Timestamp now, const std::string &from, const wire::VoteRequestT &request)
 {
-    const bool willing = this->mayVote(now, request);
+    const bool willing = this->canGrantVote(now, request);
     wire::VoteReplyT reply;
     reply.preVote = request.preVote;
     if (request.preVote) {
@@ -270,7 +270,7 @@
 void Replica::onVoteReply(Timestamp now, const std::string &from, const wire::VoteReplyT &reply)
 {
     if (this->role == ReplicaRole::PreCandidate && reply.preVote && reply.knowsNoLeader && this->isVoter(from)) {
-        this->leaderless.insert(from);
+        this->votersWithoutLeader.insert(from);
         if (this->hasUnanimousRestart()) {
             this->startElection(now, Election::AfterRestart);
             return;
@@ -303,7 +303,7 @@
     if (!this->isCaughtUpLeader() || this->hasPendingMembership()) {
         return false;
     }
-    this->appendOwn(wire::EntryKind::Membership, wire::pack(next));
+    this->appendAsLeader(wire::EntryKind::Membership, wire::pack(next));
     for (const std::string &member : this->otherMembers()) {
         if (!this->progresses.contains(member)) {
             this->progresses[member].next = this->lastIndex() + 1;
@@ -312,7 +312,7 @@
     return true;
 }
 
-bool Replica::handOver(Timestamp now)
+bool Replica::transferLeadership(Timestamp now)
 {
     if (this->role != ReplicaRole::Leader) {
         return false;
@@ -321,7 +321,7 @@
     const std::string *best = nullptr;
     for (const std::string &voter : this->members.voters) {
         const auto found = this->progresses.find(voter);
-        const bool isAlive = found != this->progresses.end() && now - found->second.lastReply < this->settings.election;
+        const bool isAlive = found != this->progresses.end() && now - found->second.lastReply < this->settings.electionTimeout;
         if (isAlive && (best == nullptr || found->second.match > this->progresses.at(*best).match)) {
             best = &voter;
         }
@@ -341,7 +341,7 @@
     return true;
 }
 
-Effects Replica::takeEffects()
+Effects Replica::drainEffects()
 {
     Effects taken;
     std::swap(taken, this->effects);
@@ -364,15 +364,16 @@
         confirmed.push_back(found == this->progresses.end() ? (voter == this->settings.self ? now : absl::InfinitePast()) : found->second.lastAckSentAt);
     }
     std::sort(confirmed.begin(), confirmed.end(), std::greater<>());
-    const Duration usable = this->settings.election * (1.0 - 2.0 * this->settings.driftPerMille / 1000.0);
+    const Duration usable = this->settings.electionTimeout * (1.0 - 2.0 * this->settings.driftPerMille / 1000.0);
     return now < confirmed[this->quorum() - 1] + usable;
 }
 
-bool Replica::hearsMajorityOf(const std::vector<std::string> &voters, Timestamp now) const
+bool Replica::isInContactWithMajorityOf(const std::vector<std::string> &voters, Timestamp now) const
 {
     const auto isHeard = [this, now](const std::string &voter) {
         const auto progress = this->progresses.find(voter);
-        const bool hasAnswered = progress != this->progresses.end() && now - progress->second.lastReply <= heartbeatsToAnswer * this->settings.heartbeat;
+        const bool hasAnswered =
+            progress != this->progresses.end() && now - progress->second.lastReply <= heartbeatsToAnswer * this->settings.heartbeatInterval;
         return voter == this->settings.self || hasAnswered;
     };
     return static_cast<std::size_t>(std::count_if(voters.begin(), voters.end(), isHeard)) >= voters.size() / 2 + 1;
--- a/paddlepier/consensus/replica.h
+++ b/paddlepier/consensus/replica.h
@@ -26,7 +26,7 @@
 #define PADDLEPIER_CONSENSUS_REPLICA_H
 
 #include "paddlepier/base/clock.h"
-#include "paddlepier/consensus/leaderpatience.h"
+#include "paddlepier/consensus/leadertimeout.h"
 #include "paddlepier/storage/replicastore.h"
 #include "paddlepier/wire/peer_generated.h"
 
@@ -64,14 +64,14 @@
 struct ReplicaSettings {
     /** This replica's identity. */
     std::string self;
-    Duration heartbeat = absl::Milliseconds(100);
+    Duration heartbeatInterval = absl::Milliseconds(100);
     /** Shortest silence after which a follower starts an election, while its leader's messages come in time; the longest is twice that. */
-    Duration election = absl::Milliseconds(500);
+    Duration electionTimeout = absl::Milliseconds(500);
     /**
      * Shortest pause between the pre-votes of a replica that has heard from no leader since it was started; the longest
      * is twice that. A few round trips.
      */
-    Duration restartProbe = absl::Milliseconds(30);
+    Duration restartPreVoteInterval = absl::Milliseconds(30);
     std::uint32_t driftPerMille = 10;
     std::size_t appendBytes = std::size_t{256} * 1024;
     std::size_t chunkBytes = std::size_t{256} * 1024;
@@ -80,7 +80,7 @@
     ReplicaGuards guards;
 };
 
-struct Outbound {
+struct OutboundMessage {
     std::string to;
     wire::PeerBodyUnion body;
 };
@@ -90,8 +90,8 @@
  * one step; then send `afterSync` and report persisted(). Effects are carried out in the order in which they were taken.
  */
 struct Effects {
-    std::vector<Outbound> now;
-    std::vector<Outbound> afterSync;
+    std::vector<OutboundMessage> immediate;
+    std::vector<OutboundMessage> afterSync;
     std::optional<wire::HardStateT> hardState;
     std::vector<wire::LogRecordT> entries;
     /** Replaces the log on disk by this snapshot, `hardState` and `entries`. */
@@ -112,7 +112,7 @@
     Replica(ReplicaSettings replicaSettings, storage::RecoveredState recovered, Timestamp now, std::uint64_t seed);
 
     /** Starts a new group with this replica as its only voter. Must have no membership yet. */
-    void formGroup(Timestamp now);
+    void bootstrapGroup(Timestamp now);
 
     void tick(Timestamp now);
     void receive(Timestamp now, const std::string &from, wire::PeerBodyUnion body);
@@ -136,9 +136,9 @@
     void compact(Index index, const std::string &data);
 
     /** As leader: asks the most advanced voter to take over, and stops leading. @return false if there is none */
-    bool handOver(Timestamp now);
+    bool transferLeadership(Timestamp now);
 
-    Effects takeEffects();
+    Effects drainEffects();
 
     bool isLeader() const;
     /** True if no other replica can have become leader up to @p now; needed before answering from the state alone. */
@@ -156,7 +156,7 @@
     const wire::MembershipT &membership() const;
     bool hasPendingMembership() const;
     /** As leader: a majority of @p voters, which may be others than the members', has answered within the last heartbeats. */
-    bool hearsMajorityOf(const std::vector<std::string> &voters, Timestamp now) const;
+    bool isInContactWithMajorityOf(const std::vector<std::string> &voters, Timestamp now) const;
     /** As leader: the index up to which @p replica is known to be durable. */
     Index matchOf(const std::string &replica) const;
     /** As leader: when @p replica last answered, or when this replica became leader if it hasn't since; @p now for itself. */
@@ -204,9 +204,9 @@
     void onSnapshotChunk(Timestamp now, const std::string &from, const wire::SnapshotChunkT &chunk);
     void onSnapshotReply(Timestamp now, const std::string &from, const wire::SnapshotReplyT &reply);
     void acceptLeader(Timestamp now, const std::string &from, Term term);
-    bool mayVote(Timestamp now, const wire::VoteRequestT &request) const;
+    bool canGrantVote(Timestamp now, const wire::VoteRequestT &request) const;
     bool isUpToDate(const wire::VoteRequestT &request) const;
-    void noteAck(Timestamp now, Progress &progress, std::int64_t sentAtMicros);
+    void recordAck(Timestamp now, Progress &progress, std::int64_t sentAtMicros);
 
     Index storeEntries(std::vector<std::unique_ptr<wire::LogRecordT>> &entries);
     void installSnapshot(wire::SnapshotHeaderT snapshot);
@@ -217,7 +217,7 @@
     const std::string &snapshotBytes();
     void advanceCommit();
     void commitTo(Index index);
-    void appendOwn(wire::EntryKind kind, const std::string &data);
+    void appendAsLeader(wire::EntryKind kind, const std::string &data);
     void recomputeMembership();
     void truncateFrom(Index index);
 
@@ -253,13 +253,13 @@
     std::string leaderName;
     Timestamp electionDeadline;
     Timestamp lastHeardLeader;
-    LeaderPatience patience;
+    LeaderTimeout leaderTimeout;
     const Timestamp startedAt;
     const Term termAtStart;
     /** Since this replica was started it has heard from a leader, or has led. */
     bool heardLeader = false;
     /** Voters that know no leader, by their answers to the pre-vote under way. */
-    absl::flat_hash_set<std::string> leaderless;
+    absl::flat_hash_set<std::string> votersWithoutLeader;
     Timestamp leadingSince;
     Timestamp lastBroadcast;
     Index termStartIndex = 0;
--- a/paddlepier/consensus/replica_test.cpp
+++ b/paddlepier/consensus/replica_test.cpp
@@ -31,7 +31,7 @@
     for (const FaultStep &step : steps) {
         group.step(step);
     }
-    group.settle();
+    group.recoverAndVerify();
     return group.violation();
 }
 
@@ -125,7 +125,7 @@
         group.step({Fault::Restart, other, 0});
     }
     group.step({Fault::Run, 390, 0});
-    group.settle();
+    group.recoverAndVerify();
     return group.violation();
 }
 
@@ -175,7 +175,7 @@
 TEST_CASE("group_onClocksThatMissSuspensions_isCaught", "[proof][red]")
 {
     FakeGroupFaults faults;
-    faults.clocksMissFreezes = true;
+    faults.clocksStopWhileFrozen = true;
     REQUIRE(isBroken({}, faults));
 }
 
@@ -199,7 +199,7 @@
             group.step({Fault::Run, 1490, 0});
         }
     }
-    group.settle();
+    group.recoverAndVerify();
     return group.violation();
 }
 
@@ -244,7 +244,7 @@
         group.step({Fault::Run, 1490, 0});
     }
     group.step({Fault::Heal, 0, 0});
-    group.settle();
+    group.recoverAndVerify();
     return {before, group.replica(follower)->currentTerm()};
 }
 
--- a/paddlepier/consensus/replication.cpp
+++ b/paddlepier/consensus/replication.cpp
@@ -29,19 +29,19 @@
 template<typename Body>
 void Replica::sendNow(const std::string &to, Body body)
 {
-    Outbound message;
+    OutboundMessage message;
     message.to = to;
     message.body.Set(std::move(body));
-    this->effects.now.push_back(std::move(message));
+    this->effects.immediate.push_back(std::move(message));
 }
 
 template<typename Body>
 void Replica::sendAfterSync(const std::string &to, Body body)
 {
-    Outbound message;
+    OutboundMessage message;
     message.to = to;
     message.body.Set(std::move(body));
-    auto &list = this->settings.guards.syncBeforeAcknowledge ? this->effects.afterSync : this->effects.now;
+    auto &list = this->settings.guards.syncBeforeAcknowledge ? this->effects.afterSync : this->effects.immediate;
     list.push_back(std::move(message));
 }
 
@@ -97,7 +97,7 @@
     return found == this->progresses.end() ? now : found->second.lastReply;
 }
 
-void Replica::appendOwn(wire::EntryKind kind, const std::string &data)
+void Replica::appendAsLeader(wire::EntryKind kind, const std::string &data)
 {
     wire::LogRecordT entry;
     entry.term = this->hardState.term;
@@ -117,7 +117,7 @@
     if (this->role != ReplicaRole::Leader) {
         return std::nullopt;
     }
-    this->appendOwn(wire::EntryKind::Command, data);
+    this->appendAsLeader(wire::EntryKind::Command, data);
     return this->lastIndex();
 }
 
@@ -141,7 +141,7 @@
 void Replica::sendAppend(Timestamp now, const std::string &to, Progress &progress, bool heartbeat)
 {
     // Lost messages or answers would leave the pipeline full for ever.
-    if (heartbeat && progress.inFlight > 0 && now - progress.lastReply > 3 * this->settings.heartbeat) {
+    if (heartbeat && progress.inFlight > 0 && now - progress.lastReply > 3 * this->settings.heartbeatInterval) {
         progress.inFlight = 0;
         progress.probing = true;
         progress.next = progress.match + 1;
@@ -219,9 +219,9 @@
 {
     if (term > this->hardState.term || this->role != ReplicaRole::Follower) {
         this->becomeFollower(term, from);
-        this->patience.forget();
+        this->leaderTimeout.reset();
     } else if (this->leaderName == from) {
-        this->patience.notePause(now - this->lastHeardLeader);
+        this->leaderTimeout.recordGap(now - this->lastHeardLeader);
     }
     this->leaderName = from;
     this->lastHeardLeader = now;
@@ -294,7 +294,7 @@
     }
 }
 
-void Replica::noteAck(Timestamp now, Progress &progress, std::int64_t sentAtMicros)
+void Replica::recordAck(Timestamp now, Progress &progress, std::int64_t sentAtMicros)
 {
     progress.lastReply = now;
     progress.lastAckSentAt = std::max(progress.lastAckSentAt, absl::FromUnixMicros(sentAtMicros));
@@ -314,7 +314,7 @@
         return;
     }
     Progress &progress = found->second;
-    this->noteAck(now, progress, reply.sentAtMicros);
+    this->recordAck(now, progress, reply.sentAtMicros);
     if (reply.accepted) {
         progress.match = std::max(progress.match, reply.matchIndex);
         progress.next = std::max(progress.next, progress.match + 1);
@@ -383,7 +383,7 @@
         return;
     }
     Progress &progress = found->second;
-    this->noteAck(now, progress, reply.sentAtMicros);
+    this->recordAck(now, progress, reply.sentAtMicros);
     if (progress.snapshotIndex != reply.index || progress.next > this->baseIndex) {
         return;
     }
--- a/paddlepier/execution/cellload.cpp
+++ b/paddlepier/execution/cellload.cpp
@@ -27,7 +27,7 @@
         for (const workload::Occurrence &occurrence : job.occurrences()) {
             for (std::uint32_t number = 0; number < occurrence.steps.size(); ++number) {
                 const workload::Step &step = occurrence.steps[number];
-                const std::uint64_t tasks = step.openBefore == 0 ? step.waitingTasks : 0;
+                const std::uint64_t tasks = step.openPredecessors == 0 ? step.waitingTasks : 0;
                 load.waitingTasks += tasks;
                 load.waitingDemand += tasks * workload::demandOf(job.stepSpec(number)).milliProcessors();
             }
--- a/paddlepier/execution/copies.cpp
+++ b/paddlepier/execution/copies.cpp
@@ -34,17 +34,17 @@
     if (job.task(key).isSuspect()) {
         return false;
     }
-    return this->state.supersededRuns(key) < mostSuperseded;
+    return this->state.supersededRunCount(key) < mostSuperseded;
 }
 
 void Dispatcher::supersedeRuns(Timestamp now)
 {
-    if (this->isSlow) {
+    if (this->isProcessSlow) {
         return;
     }
-    for (const workload::Life &life : this->needAttention) {
+    for (const workload::Incarnation &life : this->workersNeedingAttention) {
         const WorkerView &view = this->views.at(life);
-        if (!view.isOverdue(now) && !view.isSilent()) {
+        if (!view.isOverdue(now) && !view.isUnresponsive()) {
             continue;
         }
         std::vector<std::pair<workload::TaskKey, RunTrack>> superseded;
@@ -57,11 +57,11 @@
         for (const auto &[key, track] : superseded) {
             this->supersededTracks[{life, key, track.run}].isAdopted = track.isAdopted;
         }
-        this->endRuns(life, superseded, work::RunEndKind::Superseded);
+        this->proposeEnds(life, superseded, work::RunEndKind::Superseded);
     }
 }
 
-bool Dispatcher::takeSupersededRun(Timestamp now, const workload::Life &worker, const ListedRun &listed)
+bool Dispatcher::handleSupersededRun(Timestamp now, const workload::Incarnation &worker, const ListedRun &listed)
 {
     const workload::Worker &record = *this->state.findWorker(worker);
     const auto found = record.superseded.find(listed.task);
@@ -75,7 +75,7 @@
     return true;
 }
 
-void Dispatcher::stopSuperseded(Timestamp now, const workload::Life &worker, const workload::TaskKey &key, std::uint32_t run)
+void Dispatcher::stopSuperseded(Timestamp now, const workload::Incarnation &worker, const workload::TaskKey &key, std::uint32_t run)
 {
     SupersededTrack &track = this->supersededTracks[{worker, key, run}];
     if (!track.isStopInFlight) {
@@ -84,7 +84,7 @@
     }
 }
 
-void Dispatcher::settleSuperseded(Timestamp now, const workload::Life &worker, Timestamp pollSentAt, const WorkerAnswer &answer)
+void Dispatcher::settleSuperseded(Timestamp now, const workload::Incarnation &worker, Timestamp pollSentAt, const WorkerAnswer &answer)
 {
     std::vector<std::pair<workload::TaskKey, RunTrack>> over;
     for (const auto &[key, run] : this->state.findWorker(worker)->superseded) {
@@ -101,7 +101,7 @@
             this->stopSuperseded(now, worker, key, run.run);
         }
     }
-    this->endRuns(worker, over, work::RunEndKind::Void);
+    this->proposeEnds(worker, over, work::RunEndKind::Void);
 }
 
 std::pair<workload::TaskKey, RunTrack> Dispatcher::trackOf(const workload::TaskKey &key, const workload::SupersededRun &run)
@@ -112,13 +112,13 @@
     return {key, std::move(track)};
 }
 
-void Dispatcher::expireSuperseded(const workload::Life &worker)
+void Dispatcher::expireSuperseded(const workload::Incarnation &worker)
 {
     std::vector<std::pair<workload::TaskKey, RunTrack>> expired;
     for (const auto &[key, run] : this->state.findWorker(worker)->superseded) {
         expired.push_back(trackOf(key, run));
     }
-    this->endRuns(worker, expired, work::RunEndKind::Expired);
+    this->proposeEnds(worker, expired, work::RunEndKind::Expired);
 }
 
 } // namespace paddlepier::execution
--- a/paddlepier/execution/crashes_test.cpp
+++ b/paddlepier/execution/crashes_test.cpp
@@ -31,7 +31,7 @@
     CrashFixture()
     {
         this->onStep = [this] { this->bringBack(); };
-        this->workers.crashes = [this](const workload::TaskKey &key, std::uint32_t) { return this->crashing.contains(key.job); };
+        this->workers.isCrashing = [this](const workload::TaskKey &key, std::uint32_t) { return this->crashing.contains(key.job); };
     }
 
     void addCell(std::size_t count)
@@ -40,7 +40,7 @@
             const std::string host = absl::StrCat("w", number);
             this->addWorker(host, 4000, host);
         }
-        this->newLeader();
+        this->electLeader();
         this->runFor(absl::Seconds(1));
     }
 
@@ -63,7 +63,7 @@
         this->runFor(absl::Seconds(15));
         CHECK(this->stateOf(job) == work::JobState::Failed);
         CHECK(this->state.findJob(job)->failure().reason == work::JobFailureReason::WorkersLost);
-        CHECK(this->workers.problems.empty());
+        CHECK(this->workers.violations.empty());
     }
 
     work::JobState stateOf(const std::string &job) const
@@ -96,7 +96,7 @@
             this->addWorker(absl::StrCat(host, ".", ++this->lives), 4000, host);
         }
         if (!due.empty() && this->dispatcher) {
-            this->dispatcher->noteChange();
+            this->dispatcher->markChanged();
         }
     }
 
@@ -115,7 +115,7 @@
     this->runFor(absl::Seconds(5));
     CHECK(this->stateOf("bad") == work::JobState::Failed);
     CHECK(this->isCompleted("good"));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(CrashFixture, "tasksThatCrashTheirWorkersTogether_throughChangesOfLeader_areGivenUpWithinTheirBound")
@@ -126,10 +126,10 @@
     this->addJob("worse", 2, 800);
     for (int term = 0; term < 8; ++term) {
         this->runFor(absl::Milliseconds(1700));
-        this->newLeader();
+        this->electLeader();
     }
     CHECK(this->runUntil([this] { return this->hasEnded("bad") && this->hasEnded("worse"); }, absl::Seconds(30)));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(CrashFixture, "stepOfManyTasksThatCrash_onManyWorkersAtOnce_isGivenUp")
@@ -154,7 +154,7 @@
 {
     this->addCell(12);
     this->crashing = {"bad"};
-    this->workers.crashesAfter = absl::Milliseconds(500);
+    this->workers.crashDelay = absl::Milliseconds(500);
     this->addJob("bad", 5, 1000, 1, false, true);
     this->checkGivenUp("bad");
 }
@@ -163,7 +163,7 @@
 TEST_CASE_METHOD(CrashFixture, "gangWhoseMembersCrashInTurn_isGivenUp")
 {
     this->addCell(2);
-    this->workers.crashes = [](const workload::TaskKey &key, std::uint32_t run) {
+    this->workers.isCrashing = [](const workload::TaskKey &key, std::uint32_t run) {
         constexpr std::uint32_t runsOfTheFirst = 3;
         return key.job == "bad" && key.index == (run <= runsOfTheFirst ? 0 : 7);
     };
@@ -196,7 +196,7 @@
 {
     this->addCell(12);
     this->crashing = {"bad"};
-    this->workers.crashesAfter = absl::Seconds(6);
+    this->workers.crashDelay = absl::Seconds(6);
     this->addJob("bad", 1, 8000);
     this->checkGivenUp("bad");
 }
@@ -205,8 +205,8 @@
 {
     this->addCell(12);
     this->crashing = {"bad"};
-    this->weather.late = 40;
-    this->weather.lostAfter = 20;
+    this->networkFaults.delayPercent = 40;
+    this->networkFaults.answerLossPercent = 20;
     this->addJob("bad", 2, 800);
     this->addJob("good", 12, 800);
     this->checkGivenUp("bad", absl::Seconds(120));
@@ -230,7 +230,7 @@
     for (int term = 0; term < 6 && !this->hasEnded("bad"); ++term) {
         this->runFor(absl::Milliseconds(2500));
         this->state.restore(std::string(this->state.snapshot()));
-        this->newLeader();
+        this->electLeader();
     }
     this->checkGivenUp("bad");
 }
@@ -242,7 +242,7 @@
     this->addJob("bad", 1, 800);
     this->checkGivenUp("bad");
     const std::vector<std::string> lost = this->state.findJob("bad")->failure().lostWorkers;
-    CHECK(lost.size() == workload::enoughLosses);
+    CHECK(lost.size() == workload::lossThreshold);
     this->state.restore(std::string(this->state.snapshot()));
     CHECK(this->state.findJob("bad")->failure().lostWorkers == lost);
     CHECK(this->state.findJob("bad")->failure().text().find(lost.front()) != std::string::npos);
@@ -280,7 +280,7 @@
         CHECK(this->runUntil([&] { return this->hasEnded(absl::StrCat("good-", number)); }));
         CHECK(this->isCompleted(absl::StrCat("good-", number)));
     }
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(CrashFixture, "jobs_throughTheLossOfTwoRacks_complete")
@@ -296,7 +296,7 @@
         }
     }
     CHECK(this->runUntil([this] { return this->isCompleted("long") && this->isCompleted("short"); }, absl::Seconds(90)));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 // After the loss of racks most suspects are innocent, and there are more of them than workers.
@@ -327,7 +327,7 @@
         CHECK(this->runUntil([&] { return runs() == 48; }, absl::Milliseconds(3200)));
     }
     CHECK(this->stateOf("many") == work::JobState::Running);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(CrashFixture, "taskUnderWhichTwoWorkersWereLost_startsOnAWorkerOfItsOwn")
@@ -341,12 +341,12 @@
     REQUIRE(this->runUntil([&] { return losses() == 2; }, absl::Seconds(10)));
     REQUIRE(this->runUntil([&] { return this->state.findJob("bad")->task(bad).hasRun(); }, absl::Seconds(2)));
     this->addJob("more", 8, 500);
-    const workload::Life worker = this->state.findJob("bad")->task(bad).worker;
+    const workload::Incarnation worker = this->state.findJob("bad")->task(bad).worker;
     CHECK(this->state.findWorker(worker)->runs.size() == 1);
     this->runFor(absl::Milliseconds(300));
     CHECK(this->state.findWorker(worker)->runs.size() == 1);
     this->checkGivenUp("bad");
-    CHECK(this->state.findJob("bad")->failure().lostWorkers.size() == workload::enoughLosses);
+    CHECK(this->state.findJob("bad")->failure().lostWorkers.size() == workload::lossThreshold);
 }
 
 TEST_CASE_METHOD(CrashFixture, "workerThatIsDrainedAndLeaves_saysNothingAboutItsTasks")
@@ -355,7 +355,7 @@
     this->submit("watch", 1, 400, [](work::JobSpecT &, work::StepSpecT &step) { step.isLasting = true; });
     const workload::TaskKey watch("watch", 0, 0, 0);
     REQUIRE(this->runUntil([&] { return this->isAtWork(watch); }, absl::Seconds(5)));
-    const workload::Life worker = this->state.findJob("watch")->task(watch).worker;
+    const workload::Incarnation worker = this->state.findJob("watch")->task(watch).worker;
     work::RegisterWorkerT registration = this->state.findWorker(worker)->registration;
     registration.isDraining = true;
     this->apply(std::move(registration));
@@ -370,14 +370,14 @@
     this->addJob("a", 1, 30'000);
     const workload::TaskKey task("a", 0, 0, 0);
     REQUIRE(this->runUntil([&] { return this->isAtWork(task); }, absl::Seconds(2)));
-    const workload::Life worker = this->state.findJob("a")->task(task).worker;
+    const workload::Incarnation worker = this->state.findJob("a")->task(task).worker;
     this->workers.workers[worker.id].isCut = true;
-    REQUIRE(this->runUntil([&] { return this->state.findWorker(worker)->lapsed.contains(task); }, absl::Seconds(20)));
-    CHECK(this->state.findJob("a")->task(task).doubtfulWorkers == 1);
+    REQUIRE(this->runUntil([&] { return this->state.findWorker(worker)->expiredLeases.contains(task); }, absl::Seconds(20)));
+    CHECK(this->state.findJob("a")->task(task).unconfirmedLosses == 1);
     this->state.restore(std::string(this->state.snapshot()));
-    CHECK(this->state.findJob("a")->task(task).doubtfulWorkers == 1);
+    CHECK(this->state.findJob("a")->task(task).unconfirmedLosses == 1);
     this->workers.workers[worker.id].isCut = false;
-    CHECK(this->runUntil([&] { return this->state.findJob("a")->task(task).doubtfulWorkers == 0; }, absl::Seconds(10)));
+    CHECK(this->runUntil([&] { return this->state.findJob("a")->task(task).unconfirmedLosses == 0; }, absl::Seconds(10)));
     CHECK(this->state.findJob("a")->task(task).lostWorkers.empty());
     CHECK(this->state.suspects().empty());
 }
