--- a/paddlepier/execution/dispatcher.cpp
+++ b/paddlepier/execution/dispatcher.cpp
@@ -82,8 +82,8 @@
     : state(workloadState)
     , options(dispatchOptions)
     , term(leaderTerm)
-    , planner(this->state, this->views, this->tracks, this->setbacks, this->advice, this->usualRatios)
-    , steppedAt(now)
+    , planner(this->state, this->views, this->tracks, this->taskBackoff, this->adviceCache, this->typicalRatios)
+    , lastStepAt(now)
 {
     this->syncWorkers(now);
     this->adoptRuns(now);
@@ -109,20 +109,20 @@
     }
 }
 
-void Dispatcher::noteChange()
+void Dispatcher::markChanged()
 {
-    this->changed = true;
-    this->mayBeNeedless = true;
+    this->hasChanged = true;
+    this->mayHaveObsoleteRuns = true;
 }
 
-void Dispatcher::noteAnnouncement(Timestamp now, const workload::Life &worker, std::uint64_t sequence, Duration drainRemaining)
+void Dispatcher::recordAnnouncement(Timestamp now, const workload::Incarnation &worker, std::uint64_t sequence, Duration drainRemaining)
 {
     const auto view = this->views.find(worker);
     if (view == this->views.end()) {
         return;
     }
     view->second.announcedAt = now;
-    if (view->second.isSilent() && view->second.pollState == PollState::Idle) {
+    if (view->second.isUnresponsive() && view->second.pollState == PollState::Idle) {
         // It is there: it needn't wait for the pause between polls of a silent worker.
         view->second.nextPoll = now;
         this->schedulePoll(worker, view->second);
@@ -130,23 +130,23 @@
     view->second.announcedSequence = std::max(view->second.announcedSequence, sequence);
     if (drainRemaining < absl::InfiniteDuration()) {
         view->second.leavesAt = std::min(view->second.leavesAt, now + drainRemaining);
-        this->noteView(worker);
+        this->markViewChanged(worker);
     }
 }
 
-bool Dispatcher::mayHaveLeft(Timestamp now, const workload::Life &worker) const
+bool Dispatcher::mayHaveLeft(Timestamp now, const workload::Incarnation &worker) const
 {
     const auto view = this->views.find(worker);
     return view != this->views.end() && view->second.leavesAt <= now;
 }
 
-bool Dispatcher::isStaleAnnouncement(const workload::Life &worker, std::uint64_t sequence) const
+bool Dispatcher::isStaleAnnouncement(const workload::Incarnation &worker, std::uint64_t sequence) const
 {
     const auto view = this->views.find(worker);
     return view != this->views.end() && sequence < view->second.announcedSequence;
 }
 
-bool Dispatcher::isImplausibleAnnouncement(const workload::Life &worker, std::uint64_t sequence) const
+bool Dispatcher::isImplausibleAnnouncement(const workload::Incarnation &worker, std::uint64_t sequence) const
 {
     const auto view = this->views.find(worker);
     return view != this->views.end() && view->second.announcedSequence > 0 && sequence > view->second.announcedSequence + mostSequenceStep;
@@ -154,7 +154,7 @@
 
 bool Dispatcher::hasBegun(const workload::Job &job) const
 {
-    if (job.hasBegun()) {
+    if (job.hasStarted()) {
         return true;
     }
     for (auto track = this->tracks.lower_bound({job.id(), 0, 0, 0}); track != this->tracks.end() && track->first.job == job.id(); ++track) {
@@ -167,7 +167,7 @@
 
 std::uint32_t Dispatcher::waitingJobs(const std::string &queue) const
 {
-    if (this->steppedAt >= this->countedAt + countingInterval) {
+    if (this->lastStepAt >= this->jobsCountedAt + countingInterval) {
         this->countWaitingJobs();
     }
     const auto found = this->waitingByQueue.find(queue);
@@ -176,7 +176,7 @@
 
 void Dispatcher::countWaitingJobs() const
 {
-    this->countedAt = this->steppedAt;
+    this->jobsCountedAt = this->lastStepAt;
     this->waitingByQueue.clear();
     for (const std::string &id : this->state.activeJobs()) {
         const workload::Job &job = *this->state.findJob(id);
@@ -186,36 +186,36 @@
     }
 }
 
-DispatchEffects Dispatcher::step(Timestamp now, std::int64_t wallMillis, const QuestionBudgetSource &questionBudget)
+DispatchEffects Dispatcher::step(Timestamp now, std::int64_t wallMillis, const AdviceBudgetSource &questionBudget)
 {
     this->allowForPause(now);
     this->syncWorkers(now);
-    this->forgetEndedJobs(now);
+    this->removeEndedJobs(now);
     this->checkWorkers(now);
     this->stopIncompleteGangs(now);
     this->driveRuns(now);
-    this->reportSteps(now);
+    this->logEndedSteps(now);
     this->planWork(now, wallMillis, questionBudget);
-    this->reportWaits(now, wallMillis);
-    this->reportCell(now);
+    this->logLongWaits(now, wallMillis);
+    this->logCellLoad(now);
     this->pollWorkers(now);
     return std::exchange(this->effects, DispatchEffects());
 }
 
 void Dispatcher::allowForPause(Timestamp now)
 {
-    const Duration pause = now - this->steppedAt;
-    this->steppedAt = now;
+    const Duration pause = now - this->lastStepAt;
+    this->lastStepAt = now;
     if (pause < pauseMark) {
         return;
     }
-    this->pauses += pause;
+    this->totalPause += pause;
 }
 
 void Dispatcher::syncWorkers(Timestamp now)
 {
     const auto &known = this->state.workers();
-    const auto sync = [&](const workload::Life &life) {
+    const auto sync = [&](const workload::Incarnation &life) {
         const bool isThere = known.contains(life);
         if (isThere && !this->views.contains(life)) {
             this->addView(now, life);
@@ -224,7 +224,7 @@
         }
     };
     if (!this->state.workerChanges().visitSince(this->syncedUntil, sync)) {
-        std::vector<workload::Life> viewed;
+        std::vector<workload::Incarnation> viewed;
         std::transform(this->views.begin(), this->views.end(), std::back_inserter(viewed), [](const auto &entry) { return entry.first; });
         std::for_each(viewed.begin(), viewed.end(), sync);
         std::for_each(known.begin(), known.end(), [&sync](const auto &entry) { sync(entry.first); });
@@ -232,59 +232,59 @@
     this->syncedUntil = this->state.workerChanges().end();
 }
 
-void Dispatcher::addView(Timestamp now, const workload::Life &worker)
+void Dispatcher::addView(Timestamp now, const workload::Incarnation &worker)
 {
-    const auto view = this->views.try_emplace(worker, now, this->options.longestLease, &this->pauses).first;
-    view->second.fence = fencingToken(this->term, this->livesById[worker.id]++);
-    this->dueFirstPolls.set(worker, now - this->headStart(worker));
-    this->noteView(worker);
+    const auto view = this->views.try_emplace(worker, now, this->options.maxLease, &this->totalPause).first;
+    view->second.fence = fencingToken(this->term, this->incarnationsById[worker.id]++);
+    this->firstPollTimers.schedule(worker, now - this->firstPollOffset(worker));
+    this->markViewChanged(worker);
     // Lives under one id follow each other.
     if (view != this->views.begin() && worker.isAfter(std::prev(view)->first)) {
-        std::prev(view)->second.noteLaterLife(now, this->options.longestLease);
-        this->noteView(std::prev(view)->first);
+        std::prev(view)->second.recordSuccessor(now, this->options.maxLease);
+        this->markViewChanged(std::prev(view)->first);
     }
 }
 
-void Dispatcher::removeView(const workload::Life &worker)
+void Dispatcher::removeView(const workload::Incarnation &worker)
 {
     if (this->views.erase(worker) > 0) {
-        this->needAttention.erase(worker);
+        this->workersNeedingAttention.erase(worker);
         std::erase_if(this->tracks, [&worker](const auto &run) { return run.second.worker == worker; });
     }
 }
 
-void Dispatcher::noteView(const workload::Life &worker)
+void Dispatcher::markViewChanged(const workload::Incarnation &worker)
 {
-    this->planner.noteView(worker);
+    this->planner.markViewChanged(worker);
     this->changedViews.push_back(worker);
 }
 
-void Dispatcher::judgeViews(Timestamp now)
+void Dispatcher::updateAttention(Timestamp now)
 {
-    while (const std::optional<workload::Life> due = this->dueViews.take(now)) {
+    while (const std::optional<workload::Incarnation> due = this->viewTimers.popExpired(now)) {
         this->changedViews.push_back(*due);
     }
     std::sort(this->changedViews.begin(), this->changedViews.end());
     this->changedViews.erase(std::unique(this->changedViews.begin(), this->changedViews.end()), this->changedViews.end());
-    for (const workload::Life &life : std::exchange(this->changedViews, {})) {
+    for (const workload::Incarnation &life : std::exchange(this->changedViews, {})) {
         const auto found = this->views.find(life);
         if (found == this->views.end()) {
             continue;
         }
         const WorkerView &view = found->second;
         if (!view.isReachable() || view.isOverdue(now) || view.leavesAt < absl::InfiniteFuture()) {
-            this->needAttention.insert(life);
+            this->workersNeedingAttention.insert(life);
         } else {
-            this->needAttention.erase(life);
+            this->workersNeedingAttention.erase(life);
         }
-        const Timestamp change = view.nextChange(now);
+        const Timestamp change = view.nextTimedChange(now);
         if (change < absl::InfiniteFuture()) {
-            this->dueViews.set(life, change);
+            this->viewTimers.schedule(life, change);
         }
     }
 }
 
-Duration Dispatcher::headStart(const workload::Life &worker) const
+Duration Dispatcher::firstPollOffset(const workload::Incarnation &worker) const
 {
     constexpr std::size_t places = 1'000'000;
     return absl::Nanoseconds(static_cast<std::int64_t>(std::hash<std::string>()(absl::StrCat(worker.text(), "/", this->term)) % places));
@@ -296,29 +296,29 @@
         return;
     }
     this->nextWorkerCheck = now + workerCheckInterval;
-    this->judgeViews(now);
-    const auto isMissing = [this, now](const workload::Life &life) {
+    this->updateAttention(now);
+    const auto isMissing = [this, now](const workload::Incarnation &life) {
         const WorkerView &view = this->views.at(life);
-        return view.isOverdue(now) || view.isSilent();
+        return view.isOverdue(now) || view.isUnresponsive();
     };
-    const auto missing = std::count_if(this->needAttention.begin(), this->needAttention.end(), isMissing);
+    const auto missing = std::count_if(this->workersNeedingAttention.begin(), this->workersNeedingAttention.end(), isMissing);
     // Where answers of most workers are late or missing it is likely that this process is slow, or cut off.
-    this->isSlow = static_cast<std::size_t>(missing) * 2 > this->views.size();
+    this->isProcessSlow = static_cast<std::size_t>(missing) * 2 > this->views.size();
     this->expireLeases(now);
     this->supersedeRuns(now);
     this->drainWorkers(now);
 }
 
-void Dispatcher::forgetEndedJobs(Timestamp now)
+void Dispatcher::removeEndedJobs(Timestamp now)
 {
-    if (now < this->nextForget) {
+    if (now < this->nextCleanup) {
         return;
     }
-    this->nextForget = now + forgetInterval;
+    this->nextCleanup = now + forgetInterval;
     const auto isOver = [this](const std::string &job) { return !this->state.activeJobs().contains(job); };
-    this->advice.forgetJobs(isOver);
-    this->planner.forgetJobs(isOver);
-    this->setbacks.forgetJobs(isOver);
+    this->adviceCache.removeEndedJobs(isOver);
+    this->planner.removeEndedJobs(isOver);
+    this->taskBackoff.removeEndedJobs(isOver);
     std::erase_if(this->supersededTracks, [this](const auto &entry) {
         const auto &[life, key, run] = entry.first;
         const workload::Worker *worker = this->state.findWorker(life);
@@ -326,7 +326,7 @@
     });
 }
 
-void Dispatcher::send(Timestamp now, const workload::Life &worker, Order order, Duration timeout, bool withLease)
+void Dispatcher::send(Timestamp now, const workload::Incarnation &worker, Order order, Duration timeout, bool withLease)
 {
     WorkerView &view = this->views.at(worker);
     WorkerCall call;
@@ -334,40 +334,40 @@
     call.worker = worker;
     call.address = this->state.findWorker(worker)->registration.address;
     call.fence = view.fence;
-    call.leaseEndOnWorkerClock = withLease ? view.leaseEnd(now, this->options.longestLease) : 0;
+    call.leaseEndOnWorkerClock = withLease ? view.leaseEnd(now, this->options.maxLease) : 0;
     call.timeout = timeout;
     call.order = std::move(order);
-    view.noteLease(call.leaseEndOnWorkerClock);
+    view.recordLease(call.leaseEndOnWorkerClock);
     const auto *poll = std::get_if<PollOrder>(&call.order);
-    view.noteCall(call.id, now + this->patience() + (poll == nullptr ? absl::ZeroDuration() : poll->wait + poll->watch));
-    this->noteView(worker);
-    this->startsUnderWay += std::holds_alternative<StartOrder>(call.order) ? 1 : 0;
+    view.recordCall(call.id, now + this->answerTimeout() + (poll == nullptr ? absl::ZeroDuration() : poll->wait + poll->watch));
+    this->markViewChanged(worker);
+    this->startsInFlight += std::holds_alternative<StartOrder>(call.order) ? 1 : 0;
     this->calls[call.id] = {worker, withoutPayload(call.order), now};
     this->effects.calls.push_back(std::move(call));
 }
 
-Duration Dispatcher::patience() const
+Duration Dispatcher::answerTimeout() const
 {
-    return std::clamp(patienceFactor * this->usualAnswerTime, answerPatience, longestPatience);
+    return std::clamp(patienceFactor * this->typicalAnswerTime, minAnswerTimeout, longestPatience);
 }
 
-void Dispatcher::noteAnswerTime(Timestamp now, const PendingCall &call, AnswerKind kind)
+void Dispatcher::recordAnswerTime(Timestamp now, const PendingCall &call, AnswerKind kind)
 {
     const auto *poll = std::get_if<PollOrder>(&call.order);
     const bool isHeldBack = poll != nullptr && poll->wait > absl::ZeroDuration();
     if (kind != AnswerKind::NoAnswer && kind != AnswerKind::NotSent && !isHeldBack) {
-        this->usualAnswerTime += answerWeight * (now - call.sentAt - this->usualAnswerTime);
+        this->typicalAnswerTime += answerWeight * (now - call.sentAt - this->typicalAnswerTime);
     }
 }
 
-void Dispatcher::propose(ProposalKind kind, const workload::Life &worker, work::CommandUnion command)
+void Dispatcher::propose(ProposalKind kind, const workload::Incarnation &worker, work::CommandUnion command)
 {
     const std::uint64_t id = this->nextProposal++;
     this->proposals[id] = {kind, worker};
     this->effects.proposals.push_back({id, std::move(command)});
 }
 
-void Dispatcher::takeAnswer(Timestamp now, std::uint64_t callId, const WorkerAnswer &answer)
+void Dispatcher::handleAnswer(Timestamp now, std::uint64_t callId, const WorkerAnswer &answer)
 {
     const auto found = this->calls.find(callId);
     if (found == this->calls.end()) {
@@ -375,23 +375,23 @@
     }
     const PendingCall call = std::move(found->second);
     this->calls.erase(found);
-    this->freshFirstPolls.erase(callId);
-    this->noteAnswerTime(now, call, answer.kind);
-    this->startsUnderWay -= std::holds_alternative<StartOrder>(call.order) ? 1 : 0;
+    this->recentFirstPolls.erase(callId);
+    this->recordAnswerTime(now, call, answer.kind);
+    this->startsInFlight -= std::holds_alternative<StartOrder>(call.order) ? 1 : 0;
     const auto view = this->views.find(call.worker);
     // A life may have left the ledger since the last step.
     if (view == this->views.end() || this->state.findWorker(call.worker) == nullptr) {
         return;
     }
-    view->second.noteCallEnd(callId);
-    this->noteView(call.worker);
-    if (this->isOfOtherLife(now, call, answer)) {
-        return this->takeAnswerOf(now, call, {});
+    view->second.recordCallEnd(callId);
+    this->markViewChanged(call.worker);
+    if (this->isFromOtherIncarnation(now, call, answer)) {
+        return this->processAnswer(now, call, {});
     }
-    this->takeAnswerOf(now, call, answer);
+    this->processAnswer(now, call, answer);
 }
 
-void Dispatcher::takeAnswerOf(Timestamp now, const PendingCall &call, const WorkerAnswer &answer)
+void Dispatcher::processAnswer(Timestamp now, const PendingCall &call, const WorkerAnswer &answer)
 {
     const auto view = this->views.find(call.worker);
     if (answer.kind == AnswerKind::OtherLife) {
@@ -404,23 +404,23 @@
         log::warning("dispatch", "worker.fenced", {{"worker", call.worker.text()}, {"fence", view->second.fence}});
     }
     if (!view->second.hasListed && answer.kind == AnswerKind::Accepted && std::holds_alternative<PollOrder>(call.order)) {
-        this->removeOtherLives(now, call.worker, call.sentAt, answer);
+        this->removeOtherIncarnations(now, call.worker, call.sentAt, answer);
     }
     if (answer.kind != AnswerKind::NoAnswer && answer.kind != AnswerKind::NotSent) {
-        view->second.noteAnswer(now, answer.hasClock ? std::optional(answer.clockMillis) : std::nullopt);
+        view->second.recordAnswer(now, answer.hasClock ? std::optional(answer.clockMillis) : std::nullopt);
     }
     if (std::holds_alternative<PollOrder>(call.order)) {
-        this->takePoll(now, call, answer);
+        this->handlePollAnswer(now, call, answer);
     } else if (const auto *start = std::get_if<StartOrder>(&call.order)) {
-        this->takeStart(now, call, *start, answer);
+        this->handleStartAnswer(now, call, *start, answer);
     } else if (const auto *stop = std::get_if<StopOrder>(&call.order)) {
-        this->takeStop(now, call, *stop, answer);
+        this->handleStopAnswer(now, call, *stop, answer);
     } else if (const auto *pace = std::get_if<PaceOrder>(&call.order)) {
-        this->takePace(call, *pace, answer);
+        this->handlePaceAnswer(call, *pace, answer);
     }
 }
 
-void Dispatcher::endRuns(const workload::Life &worker, const std::vector<std::pair<workload::TaskKey, RunTrack>> &ended, work::RunEndKind kind)
+void Dispatcher::proposeEnds(const workload::Incarnation &worker, const std::vector<std::pair<workload::TaskKey, RunTrack>> &ended, work::RunEndKind kind)
 {
     if (ended.empty()) {
         return;
@@ -435,15 +435,15 @@
         end->run = track.run;
         end->kind = kind;
         end->checkpoint = track.checkpoint;
-        end->atLoss = kind == work::RunEndKind::Expired ? this->atLoss(key, track) : work::RunAtLoss::NotBegun;
+        end->atLoss = kind == work::RunEndKind::Expired ? this->stateAtLoss(key, track) : work::RunAtLoss::NotBegun;
     }
-    this->dropTracks(record);
+    this->eraseTracks(record);
     work::CommandUnion command;
     command.Set(std::move(record));
     this->propose(ProposalKind::RecordEnds, {}, std::move(command));
 }
 
-void Dispatcher::takeOutcome(Timestamp now, std::uint64_t proposalId, const workload::Outcome &outcome)
+void Dispatcher::handleOutcome(Timestamp now, std::uint64_t proposalId, const workload::Outcome &outcome)
 {
     const auto found = this->proposals.find(proposalId);
     if (found == this->proposals.end()) {
@@ -451,9 +451,9 @@
     }
     const PendingProposal proposal = std::move(found->second);
     this->proposals.erase(found);
-    this->changed = true;
-    this->mayBeNeedless = true;
-    this->logGivenUp(outcome.givenUp);
+    this->hasChanged = true;
+    this->mayHaveObsoleteRuns = true;
+    this->logGivenUp(outcome.abandonedTasks);
     if (proposal.kind == ProposalKind::RecordEnds) {
         const auto view = this->views.find(proposal.worker);
         if (view != this->views.end()) {
@@ -463,17 +463,17 @@
         return;
     }
     if (proposal.kind == ProposalKind::Place) {
-        this->takePlacements(now, outcome.placed);
+        this->trackPlacements(now, outcome.placed);
     }
 }
 
-void Dispatcher::takeAdvice(Timestamp now, std::uint64_t question, const AdviceAnswer &answer)
+void Dispatcher::handleAdvice(Timestamp now, std::uint64_t question, const AdviceAnswer &answer)
 {
-    this->advice.answer(now, question, answer);
-    this->changed = true;
+    this->adviceCache.recordAnswer(now, question, answer);
+    this->hasChanged = true;
 }
 
-RunTrack *Dispatcher::findTrack(const workload::TaskKey &key, std::uint32_t run, const workload::Life &worker)
+RunTrack *Dispatcher::findTrack(const workload::TaskKey &key, std::uint32_t run, const workload::Incarnation &worker)
 {
     const auto found = this->tracks.find(key);
     const bool isThatRun = found != this->tracks.end() && found->second.run == run && found->second.worker == worker;
--- a/paddlepier/execution/dispatcher.h
+++ b/paddlepier/execution/dispatcher.h
@@ -23,13 +23,13 @@
 #define PADDLEPIER_EXECUTION_DISPATCHER_H
 
 #include "paddlepier/base/clock.h"
-#include "paddlepier/execution/duequeue.h"
 #include "paddlepier/execution/orders.h"
 #include "paddlepier/execution/runtrack.h"
-#include "paddlepier/execution/setbacks.h"
 #include "paddlepier/execution/stepreport.h"
+#include "paddlepier/execution/taskbackoff.h"
+#include "paddlepier/execution/timerqueue.h"
 #include "paddlepier/execution/workerview.h"
-#include "paddlepier/planning/advicebook.h"
+#include "paddlepier/planning/advicecache.h"
 #include "paddlepier/planning/planner.h"
 #include "paddlepier/workload/workload.h"
 
@@ -48,7 +48,7 @@
 
 struct DispatchOptions {
     /** Longest lease that a worker grants. */
-    Duration longestLease = absl::Seconds(10);
+    Duration maxLease = absl::Seconds(10);
     /** Longest time that a stop takes on a sound worker. */
     Duration stopGrace = absl::Milliseconds(200);
 };
@@ -61,7 +61,7 @@
 struct DispatchEffects {
     std::vector<WorkerCall> calls;
     std::vector<Proposal> proposals;
-    std::vector<AdviceQuestion> questions;
+    std::vector<AdviceRequest> adviceRequests;
     /** Steps that were found to have waited for long. */
     std::size_t longWaits = 0;
     /** Teams that were found to have come to their quotas. */
@@ -70,10 +70,10 @@
 };
 
 /** What a later life under its id tells about the end of a life. */
-struct NextLife {
+struct Successor {
     std::uint64_t born = 0;
     /** Runs meant for the life that is over, and begun on the later one. */
-    std::vector<workload::TaskKey> moved;
+    std::vector<workload::TaskKey> movedRuns;
 };
 
 class Dispatcher
@@ -82,32 +82,32 @@
     Dispatcher(const workload::Workload &workloadState, DispatchOptions dispatchOptions, std::uint64_t leaderTerm, Timestamp now);
 
     /** Tells how many questions can be sent now; asked by steps that make a plan alone. */
-    using QuestionBudgetSource = std::function<planning::QuestionBudget()>;
+    using AdviceBudgetSource = std::function<planning::AdviceBudget()>;
 
     /** What is to be done now; call it after every batch of events. */
     DispatchEffects step(
-        Timestamp now, std::int64_t wallMillis, const QuestionBudgetSource &questionBudget = [] { return planning::QuestionBudget(); });
+        Timestamp now, std::int64_t wallMillis, const AdviceBudgetSource &questionBudget = [] { return planning::AdviceBudget(); });
 
     /**
      * The step that ended at @p now made a plan and took @p time: the next plan leaves the process several times as long for its other
      * work, so that answers are read and orders sent while much waits.
      */
-    void notePlanTime(Timestamp now, Duration time);
+    void recordPlanTime(Timestamp now, Duration time);
 
-    void takeAnswer(Timestamp now, std::uint64_t call, const WorkerAnswer &answer);
-    void takeAdvice(Timestamp now, std::uint64_t question, const AdviceAnswer &answer);
-    void takeOutcome(Timestamp now, std::uint64_t proposal, const workload::Outcome &outcome);
+    void handleAnswer(Timestamp now, std::uint64_t call, const WorkerAnswer &answer);
+    void handleAdvice(Timestamp now, std::uint64_t question, const AdviceAnswer &answer);
+    void handleOutcome(Timestamp now, std::uint64_t proposal, const workload::Outcome &outcome);
 
     /** The worker has announced itself; @p drainRemaining is the least time left, infinite if it isn't draining. */
-    void noteAnnouncement(Timestamp now, const workload::Life &worker, std::uint64_t sequence, Duration drainRemaining);
+    void recordAnnouncement(Timestamp now, const workload::Incarnation &worker, std::uint64_t sequence, Duration drainRemaining);
     /** True if a later announcement of the same life has been seen. */
-    bool isStaleAnnouncement(const workload::Life &worker, std::uint64_t sequence) const;
+    bool isStaleAnnouncement(const workload::Incarnation &worker, std::uint64_t sequence) const;
     /** So far beyond the last one of the same life that no worker can have counted on to there. */
-    bool isImplausibleAnnouncement(const workload::Life &worker, std::uint64_t sequence) const;
+    bool isImplausibleAnnouncement(const workload::Incarnation &worker, std::uint64_t sequence) const;
     /** The worker has said when it would leave, and that time is over. */
-    bool mayHaveLeft(Timestamp now, const workload::Life &worker) const;
+    bool mayHaveLeft(Timestamp now, const workload::Incarnation &worker) const;
     /** The ledger has changed by something else than a proposal of this dispatcher. */
-    void noteChange();
+    void markChanged();
 
     /**
      * Jobs of a queue of which no run is known to have begun: rather too many than too few while answers are missing. All
@@ -115,16 +115,16 @@
      */
     std::uint32_t waitingJobs(const std::string &queue) const;
     /** Why the job has waited for long; empty if it hasn't. */
-    std::string waitOf(const std::string &job) const;
+    std::string longWaitReason(const std::string &job) const;
 
 private:
     enum class ProposalKind { Place, RecordEnds, RemoveWorker };
     struct PendingProposal {
         ProposalKind kind = ProposalKind::Place;
-        workload::Life worker;
+        workload::Incarnation worker;
     };
     struct PendingCall {
-        workload::Life worker;
+        workload::Incarnation worker;
         Order order;
         Timestamp sentAt;
     };
@@ -134,44 +134,44 @@
     void allowForPause(Timestamp now);
     /** Brings the views in step with the ledger's workers. */
     void syncWorkers(Timestamp now);
-    void addView(Timestamp now, const workload::Life &worker);
-    void removeView(const workload::Life &worker);
+    void addView(Timestamp now, const workload::Incarnation &worker);
+    void removeView(const workload::Incarnation &worker);
     /** To be called after each change of a view. */
-    void noteView(const workload::Life &worker);
+    void markViewChanged(const workload::Incarnation &worker);
     /** Sorts views that have changed, or whose answers have become overdue, in or out of those that need attention. */
-    void judgeViews(Timestamp now);
+    void updateAttention(Timestamp now);
     /** What only time changes on workers: leases that run out, answers that are missing, lives that end. */
     void checkWorkers(Timestamp now);
     void pollWorkers(Timestamp now);
-    void pollWorker(Timestamp now, const workload::Life &worker);
+    void pollWorker(Timestamp now, const workload::Incarnation &worker);
     /** A configuration names its service, or it holds runs: until then nothing is sent to its address. */
-    bool countsYet(const workload::Worker &worker) const;
+    bool mayBePolled(const workload::Worker &worker) const;
     /** A start goes to a worker that another instance may be watching: its poll is given up if it hasn't told of the run by the time that it should. */
-    void limitWatch(Timestamp now, const workload::Life &worker);
+    void limitWatch(Timestamp now, const workload::Incarnation &worker);
     void abandonWatch(WorkerView &view);
     /** Nothing runs on the worker, and it has been told that all its ends are recorded. */
     static bool isIdle(const workload::Worker &record, const WorkerView &view);
     /** How long the worker may hold its answer back while nothing ends. */
-    Duration waitOfPoll(const WorkerView &view) const;
-    Duration timeoutOfPoll(const WorkerView &view, Duration wait) const;
+    Duration pollWaitFor(const WorkerView &view) const;
+    Duration pollTimeoutFor(const WorkerView &view, Duration wait) const;
     /**
      * Puts workers' first polls in another order in each term: where terms are too short to reach all, it isn't always the same
      * ones that get neither stops nor leases.
      */
-    Duration headStart(const workload::Life &worker) const;
-    void schedulePoll(const workload::Life &worker, const WorkerView &view);
+    Duration firstPollOffset(const workload::Incarnation &worker) const;
+    void schedulePoll(const workload::Incarnation &worker, const WorkerView &view);
     void driveRuns(Timestamp now);
     /** Stops what has nothing left to do. */
-    void stopNeedlessRuns(Timestamp now);
-    static bool isNeedless(const workload::Job &job, const workload::TaskKey &key);
+    void stopObsoleteRuns(Timestamp now);
+    static bool isObsolete(const workload::Job &job, const workload::TaskKey &key);
     /** Runs whose start was never sent, with what is known of them. */
     using UnsentRuns = std::vector<std::pair<workload::TaskKey, RunTrack>>;
     void driveRun(Timestamp now, const workload::TaskKey &key, RunTrack &track, UnsentRuns &unsent);
     void driveStart(Timestamp now, const workload::TaskKey &key, RunTrack &track, UnsentRuns &unsent);
     /** The run is to begin no more: it ends at once if its start was never sent, and is kept from beginning otherwise. */
-    void takeBackStart(Timestamp now, const workload::TaskKey &key, RunTrack &track, StopReason reason, UnsentRuns &unsent);
+    void cancelStart(Timestamp now, const workload::TaskKey &key, RunTrack &track, StopReason reason, UnsentRuns &unsent);
     /** The task's team has more placed than its quota allows. */
-    bool isTeamOverdrawn(const workload::TaskKey &key) const;
+    bool isTeamOverQuota(const workload::TaskKey &key) const;
     void driveStop(Timestamp now, const workload::TaskKey &key, RunTrack &track);
     /** Stops members of gangs that wait for others in vain. */
     void stopIncompleteGangs(Timestamp now);
@@ -181,54 +181,57 @@
     void supersedeRuns(Timestamp now);
     bool maySupersede(const workload::TaskKey &key) const;
     /** A superseded run is listed; it goes on unless its task is done. @return false if it isn't one */
-    bool takeSupersededRun(Timestamp now, const workload::Life &worker, const ListedRun &listed);
+    bool handleSupersededRun(Timestamp now, const workload::Incarnation &worker, const ListedRun &listed);
     /** Ends superseded runs that a worker lists no longer, and can't start any more. */
-    void settleSuperseded(Timestamp now, const workload::Life &worker, Timestamp pollSentAt, const WorkerAnswer &answer);
-    void expireSuperseded(const workload::Life &worker);
+    void settleSuperseded(Timestamp now, const workload::Incarnation &worker, Timestamp pollSentAt, const WorkerAnswer &answer);
+    void expireSuperseded(const workload::Incarnation &worker);
     /** What endRuns() needs of a superseded run. */
     static std::pair<workload::TaskKey, RunTrack> trackOf(const workload::TaskKey &key, const workload::SupersededRun &run);
-    void stopSuperseded(Timestamp now, const workload::Life &worker, const workload::TaskKey &key, std::uint32_t run);
-    void forgetEndedJobs(Timestamp now);
+    void stopSuperseded(Timestamp now, const workload::Incarnation &worker, const workload::TaskKey &key, std::uint32_t run);
+    void removeEndedJobs(Timestamp now);
     void expireLeases(Timestamp now);
     void drainWorkers(Timestamp now);
-    void planWork(Timestamp now, std::int64_t wallMillis, const QuestionBudgetSource &questionBudget);
+    void planWork(Timestamp now, std::int64_t wallMillis, const AdviceBudgetSource &questionBudget);
     /** Tells of steps that have waited for long. */
-    void reportWaits(Timestamp now, std::int64_t wallMillis);
+    void logLongWaits(Timestamp now, std::int64_t wallMillis);
     /** Tells once a second how full the cell is. */
-    void reportCell(Timestamp now);
+    void logCellLoad(Timestamp now);
     /** Tells of teams that have come to their quotas, or from them. */
-    void reportQuotas();
+    void logQuotas();
     /** Keeps the most urgent placements, as many as may be under way; gangs stay whole. */
     void limitPlacements(std::vector<work::PlacementT> &placements) const;
     void countWaitingJobs() const;
 
     /** Follows the runs that the ledger has taken. */
-    void takePlacements(Timestamp now, const std::vector<work::PlacementT> &placed);
+    void trackPlacements(Timestamp now, const std::vector<work::PlacementT> &placed);
     void logPlacements(const std::vector<work::PlacementT> &placed) const;
-    void takePoll(Timestamp now, const PendingCall &call, const WorkerAnswer &answer);
-    void takeRunning(Timestamp now, const workload::Life &worker, const WorkerAnswer &answer);
+    void handlePollAnswer(Timestamp now, const PendingCall &call, const WorkerAnswer &answer);
+    void updateRunning(Timestamp now, const workload::Incarnation &worker, const WorkerAnswer &answer);
     /** Judges the runs on a worker after a poll: which stand still, which disturb, how fast the worker is. */
-    void watchRuns(Timestamp now, const workload::Life &worker, WorkerView &view);
-    void watchProgress(Timestamp now, const workload::TaskKey &key, RunTrack &track, WorkerView &view);
-    void paceFilling(
-        Timestamp now, const workload::Life &worker, WorkerView &view, const std::vector<ServingLoad> &serving, const std::vector<workload::TaskKey> &filling);
-    void takePace(const PendingCall &call, const PaceOrder &order, const WorkerAnswer &answer);
-    void takeEnded(Timestamp now, const workload::Life &worker, WorkerView &view, const WorkerAnswer &answer);
+    void monitorRuns(Timestamp now, const workload::Incarnation &worker, WorkerView &view);
+    void monitorProgress(Timestamp now, const workload::TaskKey &key, RunTrack &track, WorkerView &view);
+    void paceFilling(Timestamp now,
+                     const workload::Incarnation &worker,
+                     WorkerView &view,
+                     const std::vector<ServingLoad> &serving,
+                     const std::vector<workload::TaskKey> &filling);
+    void handlePaceAnswer(const PendingCall &call, const PaceOrder &order, const WorkerAnswer &answer);
+    void recordEnds(Timestamp now, const workload::Incarnation &worker, WorkerView &view, const WorkerAnswer &answer);
     /** Writes lines about steps that are done. */
-    void reportSteps(Timestamp now);
-    void judgeEnd(Timestamp now, WorkerView &view, const ListedEnd &end);
-    void takeStart(Timestamp now, const PendingCall &call, const StartOrder &order, const WorkerAnswer &answer);
-    void takeStop(Timestamp now, const PendingCall &call, const StopOrder &order, const WorkerAnswer &answer);
+    void logEndedSteps(Timestamp now);
+    void evaluateEnd(Timestamp now, WorkerView &view, const ListedEnd &end);
+    void handleStartAnswer(Timestamp now, const PendingCall &call, const StartOrder &order, const WorkerAnswer &answer);
+    void handleStopAnswer(Timestamp now, const PendingCall &call, const StopOrder &order, const WorkerAnswer &answer);
     void stopRun(Timestamp now, const workload::TaskKey &key, RunTrack &track, StopReason reason);
     /** Ends runs that a poll's answer, taken at @p now, didn't list and that can't begin any more. */
-    void settleVanished(Timestamp now, const workload::Life &worker, Timestamp pollSentAt);
-    void endRuns(const workload::Life &worker, const std::vector<std::pair<workload::TaskKey, RunTrack>> &ended, work::RunEndKind kind);
+    void settleVanishedRuns(Timestamp now, const workload::Incarnation &worker, Timestamp pollSentAt);
+    void proposeEnds(const workload::Incarnation &worker, const std::vector<std::pair<workload::TaskKey, RunTrack>> &ended, work::RunEndKind kind);
     /** A life is over; @p how  unless it had said that it would leave. */
-    void removeWorker(Timestamp now, const workload::Life &worker, work::LifeEnd how, const NextLife &next = {});
+    void removeWorker(Timestamp now, const workload::Incarnation &worker, work::LifeEnd how, const Successor &next = {});
     /** What is known of a run whose worker may be lost. */
-    work::RunAtLoss atLoss(const workload::TaskKey &key, const RunTrack &track) const;
+    work::RunAtLoss stateAtLoss(const workload::TaskKey &key, const RunTrack &track) const;
     /** The runs that go with @p worker. */
-    std::vector<std::unique_ptr<work::RunEndT>> lostRuns(const workload::Life &worker) const;
+    std::vector<std::unique_ptr<work::RunEndT>> lostRuns(const workload::Incarnation &worker) const;
     /** One line that names the runs that went with a worker: what they have in common shows across such lines. */
     void logLoss(Timestamp now, const work::RemoveWorkerT &command) const;
     void logGivenUp(const std::vector<workload::TaskKey> &tasks) const;
@@ -236,32 +239,32 @@
      * @p worker has answered a poll for the first time: earlier lives under its id are over, and other lives at its address or of its
      * machine. An announcement proves nothing of these, since it may have been held up until after its sender's end.
      */
-    void removeOtherLives(Timestamp now, const workload::Life &worker, Timestamp pollSentAt, const WorkerAnswer &answer);
+    void removeOtherIncarnations(Timestamp now, const workload::Incarnation &worker, Timestamp pollSentAt, const WorkerAnswer &answer);
     /**
      * Starts that were meant for @p earlier, the life before under its id, and have reached @p worker: nothing kept them away until it had
      * seen its own fencing token. They are its runs from now on.
      */
-    std::vector<workload::TaskKey> takeOverRuns(const workload::Life &worker, const workload::Life &earlier, const WorkerAnswer &answer);
+    std::vector<workload::TaskKey> transferRuns(const workload::Incarnation &worker, const workload::Incarnation &earlier, const WorkerAnswer &answer);
     /** An answer that isn't of the life that was called: nothing it says is taken for that life's. @return whether it was one */
-    bool isOfOtherLife(Timestamp now, const PendingCall &call, const WorkerAnswer &answer);
-    void takeAnswerOf(Timestamp now, const PendingCall &call, const WorkerAnswer &answer);
-    void dropTracks(const work::RecordEndsT &command);
+    bool isFromOtherIncarnation(Timestamp now, const PendingCall &call, const WorkerAnswer &answer);
+    void processAnswer(Timestamp now, const PendingCall &call, const WorkerAnswer &answer);
+    void eraseTracks(const work::RecordEndsT &command);
 
     /** How long an answer may take before its worker is taken to be cut off, or slowed. */
-    Duration patience() const;
-    void noteAnswerTime(Timestamp now, const PendingCall &call, AnswerKind kind);
-    void send(Timestamp now, const workload::Life &worker, Order order, Duration timeout, bool withLease);
-    void propose(ProposalKind kind, const workload::Life &worker, work::CommandUnion command);
+    Duration answerTimeout() const;
+    void recordAnswerTime(Timestamp now, const PendingCall &call, AnswerKind kind);
+    void send(Timestamp now, const workload::Incarnation &worker, Order order, Duration timeout, bool withLease);
+    void propose(ProposalKind kind, const workload::Incarnation &worker, work::CommandUnion command);
     bool hasBegun(const workload::Job &job) const;
-    RunTrack *findTrack(const workload::TaskKey &key, std::uint32_t run, const workload::Life &worker);
+    RunTrack *findTrack(const workload::TaskKey &key, std::uint32_t run, const workload::Incarnation &worker);
 
     const workload::Workload &state;
     const DispatchOptions options;
     const std::uint64_t term;
     /** Lives under each id that this term has known. */
-    std::map<std::string, std::uint64_t> livesById;
+    std::map<std::string, std::uint64_t> incarnationsById;
     /** Time that this process has stood still in this term. */
-    Duration pauses;
+    Duration totalPause;
     WorkerViews views;
     /** What was done about a superseded run that its worker doesn't list. */
     struct SupersededTrack {
@@ -272,56 +275,56 @@
         Timestamp settledAt = absl::InfiniteFuture();
     };
     /** By worker, task and run. */
-    using SupersededKey = std::tuple<workload::Life, workload::TaskKey, std::uint32_t>;
+    using SupersededKey = std::tuple<workload::Incarnation, workload::TaskKey, std::uint32_t>;
     std::map<SupersededKey, SupersededTrack> supersededTracks;
     // Invariant: holds exactly the runs that the ledger has under way, but for those whose end is being recorded.
     RunTracks tracks;
     /** Runs that are starting or stopping and wait for no answer; some may have settled since. */
-    DueQueue<workload::TaskKey> dueRuns;
+    TimerQueue<workload::TaskKey> runTimers;
     /** Workers without a poll under way, but for those whose ends are being recorded; apart: those that haven't answered one. */
-    DueQueue<workload::Life> duePolls;
-    DueQueue<workload::Life> dueFirstPolls;
+    TimerQueue<workload::Incarnation> pollTimers;
+    TimerQueue<workload::Incarnation> firstPollTimers;
     /** First polls that may still be answered in time. */
-    std::map<std::uint64_t, Timestamp> freshFirstPolls;
+    std::map<std::uint64_t, Timestamp> recentFirstPolls;
     /** Most workers owe an answer or have failed to give one: it is this process that is slow, or cut off. */
-    bool isSlow = false;
+    bool isProcessSlow = false;
     Timestamp nextWorkerCheck = absl::InfinitePast();
-    Timestamp nextNeedlessCheck = absl::InfinitePast();
+    Timestamp nextObsoleteCheck = absl::InfinitePast();
     Timestamp nextGangCheck = absl::InfinitePast();
-    Timestamp nextReport = absl::InfinitePast();
+    Timestamp nextStepReport = absl::InfinitePast();
     Timestamp nextWaitReport = absl::InfinitePast();
     Timestamp nextCellReport = absl::InfinitePast();
     std::set<std::string> teamsAtQuota;
     StepReports reports;
-    bool mayBeNeedless = true;
-    workload::ChangeLog<workload::Life>::Position syncedUntil = 0;
-    std::vector<workload::Life> changedViews;
+    bool mayHaveObsoleteRuns = true;
+    workload::ChangeLog<workload::Incarnation>::Position syncedUntil = 0;
+    std::vector<workload::Incarnation> changedViews;
     /** Views by the time at which an answer becomes overdue. */
-    DueQueue<workload::Life> dueViews;
+    TimerQueue<workload::Incarnation> viewTimers;
     /** Lives that don't answer, have let an answer become overdue, or are about to leave: a few, but for a cut or a new term. */
-    std::set<workload::Life> needAttention;
+    std::set<workload::Incarnation> workersNeedingAttention;
     /** What runs of a queue take, as a ratio to their estimates. */
-    std::map<std::string, double> usualRatios;
-    Setbacks setbacks;
-    planning::AdviceBook advice;
+    std::map<std::string, double> typicalRatios;
+    TaskBackoff taskBackoff;
+    planning::AdviceCache adviceCache;
     planning::Planner planner;
     std::map<std::uint64_t, PendingCall> calls;
     std::map<std::uint64_t, PendingProposal> proposals;
     std::uint64_t nextCall = 1;
     std::uint64_t nextProposal = 1;
     /** Smoothed time from an order to its answer, over all workers: this process' own slowness is in it. */
-    Duration usualAnswerTime;
+    Duration typicalAnswerTime;
     /** Starts that wait for their answer. */
-    std::size_t startsUnderWay = 0;
+    std::size_t startsInFlight = 0;
     /** Too many starts wait for their answer. */
-    bool placingPauses = false;
-    bool placing = false;
-    bool changed = true;
-    Timestamp nextForget = absl::InfinitePast();
+    bool isPlacingPaused = false;
+    bool isPlacementInFlight = false;
+    bool hasChanged = true;
+    Timestamp nextCleanup = absl::InfinitePast();
     Timestamp nextPlan = absl::InfinitePast();
-    Timestamp steppedAt;
+    Timestamp lastStepAt;
     mutable std::map<std::string, std::uint32_t> waitingByQueue;
-    mutable Timestamp countedAt = absl::InfinitePast();
+    mutable Timestamp jobsCountedAt = absl::InfinitePast();
     DispatchEffects effects;
 };
 
--- a/paddlepier/execution/dispatcher_benchmark.cpp
+++ b/paddlepier/execution/dispatcher_benchmark.cpp
@@ -182,7 +182,7 @@
         if (this->now >= this->nextSubmission) {
             this->nextSubmission = std::max(this->now, this->nextSubmission + jobInterval);
             this->addJob();
-            this->dispatcher->noteChange();
+            this->dispatcher->markChanged();
         }
         DispatchEffects effects;
         const Duration took = this->timed([&] { effects = this->dispatcher->step(this->now, absl::ToUnixMillis(this->now)); });
@@ -198,7 +198,7 @@
             if (poll != nullptr && poll->wait > absl::ZeroDuration()) {
                 this->held.push_back({std::move(call), this->now + poll->wait});
             } else {
-                this->answers.push_back({this->now + answerDelay, call.id, this->workers.carryOut(this->now, call)});
+                this->answers.push_back({this->now + answerDelay, call.id, this->workers.execute(this->now, call)});
             }
         }
     }
@@ -210,7 +210,7 @@
             const auto &ended = this->workers.workers[poll.call.worker.id].ended;
             const bool hasNews = !ended.empty() && ended.back().sequence > std::get<PollOrder>(poll.call.order).lastSequence;
             if (hasNews || poll.until <= this->now) {
-                this->answers.push_back({this->now + answerDelay, poll.call.id, this->workers.carryOut(this->now, poll.call)});
+                this->answers.push_back({this->now + answerDelay, poll.call.id, this->workers.execute(this->now, poll.call)});
                 return true;
             }
             return false;
@@ -226,12 +226,12 @@
             const std::uint64_t id = this->commits.front().second.id;
             this->commits.pop_front();
             const workload::Outcome outcome = this->state.apply(entry);
-            this->timed([&] { this->dispatcher->takeOutcome(this->now, id, outcome); });
+            this->timed([&] { this->dispatcher->handleOutcome(this->now, id, outcome); });
         }
         while (!this->answers.empty() && this->answers.front().at <= this->now) {
             const Answer answer = std::move(this->answers.front());
             this->answers.pop_front();
-            this->timed([&] { this->dispatcher->takeAnswer(this->now, answer.call, answer.answer); });
+            this->timed([&] { this->dispatcher->handleAnswer(this->now, answer.call, answer.answer); });
         }
     }
 
--- a/paddlepier/execution/dispatcher_test.cpp
+++ b/paddlepier/execution/dispatcher_test.cpp
@@ -20,12 +20,12 @@
     void startOnFirstWorker(std::uint32_t tasks, std::uint32_t millis, bool mayRunCopies = true)
     {
         this->addWorker("w1");
-        this->newLeader();
+        this->electLeader();
         this->addJob("a", tasks, millis, 1, mayRunCopies);
         REQUIRE(this->runUntil([this, tasks] { return this->workers.workers["w1"].runs.size() == tasks; }, absl::Seconds(1)));
         this->addWorker("w2");
         this->addWorker("w3");
-        this->dispatcher->noteChange();
+        this->dispatcher->markChanged();
         this->runFor(absl::Milliseconds(200));
     }
 };
@@ -36,10 +36,10 @@
 {
     this->addWorker("w1");
     this->addWorker("w2");
-    this->newLeader();
+    this->electLeader();
     this->addJob("a", 12, 300, 2);
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
     CHECK(this->workers.starts == 24);
 }
 
@@ -47,43 +47,43 @@
 {
     this->addWorker("w1");
     this->addWorker("w2");
-    this->newLeader();
-    this->weather.late = 60;
+    this->electLeader();
+    this->networkFaults.delayPercent = 60;
     this->addJob("a", 8, 400);
     this->runFor(absl::Seconds(4));
-    this->weather.late = 0;
+    this->networkFaults.delayPercent = 0;
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(DispatcherFixture, "workerCutOff_untilItsLeaseIsOver_keepsItsTasks")
 {
     this->addWorker("w1");
-    this->newLeader();
+    this->electLeader();
     this->addJob("a", 2, 60'000);
     this->runFor(absl::Seconds(1));
     REQUIRE(this->workers.workers["w1"].runs.size() == 2);
     this->workers.workers["w1"].isCut = true;
     this->addWorker("w2");
-    this->dispatcher->noteChange();
+    this->dispatcher->markChanged();
     this->runFor(absl::Seconds(8));
     CHECK(this->workers.workers["w2"].runs.empty());
     CHECK(this->runUntil([this] { return this->workers.workers["w2"].runs.size() == 2; }));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(DispatcherFixture, "newLeader_withRunsUnderWay_takesThemOver")
 {
     this->addWorker("w1");
-    this->newLeader();
+    this->electLeader();
     this->addJob("a", 3, 3000);
     this->runFor(absl::Seconds(1));
     this->dispatcher.reset();
     this->runFor(absl::Seconds(1));
-    this->newLeader();
+    this->electLeader();
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }));
     CHECK(this->workers.starts == 3);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(DispatcherFixture, "workerThatFailsAll_doesNotUseUpTheAttempts")
@@ -91,8 +91,8 @@
     for (const char *id : {"w1", "w2", "w3", "w4"}) {
         this->addWorker(id);
     }
-    this->workers.workers["w1"].failsAll = true;
-    this->newLeader();
+    this->workers.workers["w1"].isFailing = true;
+    this->electLeader();
     for (int job = 0; job < 8; ++job) {
         this->addJob(absl::StrCat("job-", job), 4, 200);
         this->runFor(absl::Milliseconds(300));
@@ -105,7 +105,7 @@
 TEST_CASE_METHOD(DispatcherFixture, "placement_whileAnAnswerIsOverdue_goesToOtherWorkers")
 {
     this->addWorker("w1");
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
     this->workers.workers["w1"].isCut = true;
     this->addJob("first", 1, 100);
@@ -116,57 +116,57 @@
     // No call to the cut-off worker has timed out yet; it has the least free room, which is taken first otherwise.
     this->addJob("second", 2, 100);
     CHECK(this->runUntil([this] { return this->isCompleted("second"); }, absl::Milliseconds(400)));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(DispatcherFixture, "runThatStandsStill_onOneWorker_goesOnElsewhere")
 {
     this->addWorker("w1");
-    this->workers.workers["w1"].stalls = true;
-    this->newLeader();
+    this->workers.workers["w1"].isStalling = true;
+    this->electLeader();
     this->addJob("a", 2, 800);
     this->runFor(absl::Seconds(1));
     REQUIRE(this->workers.workers["w1"].runs.size() == 2);
     this->addWorker("w2");
-    this->dispatcher->noteChange();
+    this->dispatcher->markChanged();
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }, absl::Seconds(5)));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(DispatcherFixture, "waitingJobs_whileTheStartIsUnanswered_countsTheJob")
 {
     this->addWorker("w1");
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
-    this->weather.lostBefore = 100;
+    this->networkFaults.requestLossPercent = 100;
     this->addJob("a", 1, 1000);
     this->runFor(absl::Milliseconds(500));
     CHECK(this->dispatcher->waitingJobs("quick") == 1);
-    this->weather.lostBefore = 0;
+    this->networkFaults.requestLossPercent = 0;
     CHECK(this->runUntil([this] { return this->dispatcher->waitingJobs("quick") == 0; }));
 }
 
 TEST_CASE_METHOD(DispatcherFixture, "announcementOfADeadLife_heldUpUntilAfterTheNextOne_endsNothing")
 {
     this->addWorker("second", 4000, "host:1");
-    this->newLeader();
+    this->electLeader();
     this->addJob("a", 2, 3000);
     this->runFor(absl::Seconds(1));
     REQUIRE(this->workers.workers["second"].runs.size() == 2);
     this->addWorker("first", 4000, "host:1");
-    this->workers.workers["first"].isOver = true;
-    this->dispatcher->noteChange();
+    this->workers.workers["first"].hasEnded = true;
+    this->dispatcher->markChanged();
     CHECK(this->runUntil([this] { return this->state.findWorker({"first"}) == nullptr; }, absl::Seconds(2)));
     CHECK(this->state.findWorker({"second"}) != nullptr);
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }));
     CHECK(this->workers.starts == 2);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(DispatcherFixture, "newLife_atTheAddressOfOneThatIsSilent_endsItOnceItAnswers")
 {
     this->addWorker("first", 4000, "host:1");
-    this->newLeader();
+    this->electLeader();
     this->addJob("a", 2, 3000);
     this->runFor(absl::Seconds(1));
     REQUIRE(this->workers.workers["first"].runs.size() == 2);
@@ -176,13 +176,13 @@
     this->runFor(absl::Seconds(1));
     this->addWorker("second", 4000, "host:1");
     this->workers.workers["second"].isCut = true;
-    this->dispatcher->noteChange();
+    this->dispatcher->markChanged();
     this->runFor(absl::Seconds(1));
     CHECK(this->state.findWorker({"first"}) != nullptr);
     this->workers.workers["second"].isCut = false;
     CHECK(this->runUntil([this] { return this->state.findWorker({"first"}) == nullptr; }, absl::Seconds(2)));
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }, absl::Seconds(5)));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(CopiesFixture, "copy_ofATaskOnAWorkerThatIsCutOff_completesTheJob")
@@ -195,7 +195,7 @@
     this->workers.workers["w1"].isCut = false;
     CHECK(this->runUntil([this] { return this->state.findWorker({"w1"})->superseded.empty(); }, absl::Seconds(4)));
     CHECK(this->state.findWorker({"w1"})->freeMilliProcessors() == 4000);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(CopiesFixture, "supersededRun_thatIsDoneFirst_completesTheJobAndStopsTheCopy")
@@ -217,11 +217,11 @@
     REQUIRE(this->runUntil([this] { return this->state.findWorker({"w1"})->superseded.size() == 4; }, absl::Seconds(2)));
     this->state.restore(std::string(this->state.snapshot()));
     CHECK(this->state.findWorker({"w1"})->freeMilliProcessors() == 0);
-    this->newLeader();
+    this->electLeader();
     this->workers.workers["w1"].isCut = false;
     this->addJob("b", 12, 2000);
     CHECK(this->runUntil([this] { return this->isCompleted("a") && this->isCompleted("b"); }));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(CopiesFixture, "runWithoutCopies_onAWorkerThatIsCutOff_isNotSuperseded")
@@ -239,7 +239,7 @@
         this->addWorker(absl::StrCat("w", number));
     }
     this->answerDelay = absl::Milliseconds(300);
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
     for (int job = 0; job < 10; ++job) {
         this->addJob(absl::StrCat("job-", job), 1, 2000, 1, true);
@@ -254,7 +254,7 @@
     for (const char *id : {"w1", "w2", "w3"}) {
         this->addWorker(id);
     }
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
     this->answerDelay = absl::Milliseconds(450);
     this->addJob("a", 1, 2000, 1, true);
@@ -268,12 +268,12 @@
 TEST_CASE_METHOD(DispatcherFixture, "questionBudget_isAskedForByPlansAlone")
 {
     this->addWorker("w1");
-    this->newLeader();
+    this->electLeader();
     std::size_t asked = 0;
     std::size_t plans = 0;
     const auto budget = [&asked] {
         ++asked;
-        return planning::QuestionBudget();
+        return planning::AdviceBudget();
     };
     constexpr int steps = 1000;
     for (int step = 0; step < steps; ++step) {
@@ -290,24 +290,24 @@
         DispatcherFixture fixture;
         const auto seed = *rc::gen::arbitrary<std::uint32_t>();
         fixture.random.seed(seed);
-        fixture.hasCarrier = seed % 2 == 1;
+        fixture.hasRelay = seed % 2 == 1;
         for (int number = 0; number < 4; ++number) {
             fixture.addWorker(absl::StrCat("w", number));
         }
-        fixture.newLeader();
-        fixture.weather.lostBefore = *rc::gen::inRange(0U, 25U);
-        fixture.weather.lostAfter = *rc::gen::inRange(0U, 25U);
-        fixture.weather.late = *rc::gen::inRange(0U, 25U);
+        fixture.electLeader();
+        fixture.networkFaults.requestLossPercent = *rc::gen::inRange(0U, 25U);
+        fixture.networkFaults.answerLossPercent = *rc::gen::inRange(0U, 25U);
+        fixture.networkFaults.delayPercent = *rc::gen::inRange(0U, 25U);
         const int events = *rc::gen::inRange(2, 10);
         int jobs = 0;
         for (int event = 0; event < events; ++event) {
             const unsigned int kind = fixture.random() % 5;
             if (kind == 0) {
-                fixture.newLeader();
+                fixture.electLeader();
             } else if (kind == 1) {
                 fixture.dispatcher.reset();
                 fixture.runFor(absl::Milliseconds(fixture.random() % 3000));
-                fixture.newLeader();
+                fixture.electLeader();
             } else if (kind == 2) {
                 bool &cut = fixture.workers.workers[absl::StrCat("w", fixture.random() % 4)].isCut;
                 cut = !cut;
@@ -316,7 +316,7 @@
                 absl::StrCat("job", jobs++), 1 + fixture.random() % 6, 100 + fixture.random() % 3000, 1 + fixture.random() % 2, fixture.random() % 4 == 0);
             fixture.runFor(absl::Milliseconds(fixture.random() % 6000));
         }
-        fixture.weather = Weather();
+        fixture.networkFaults = NetworkFaults();
         for (auto &[id, worker] : fixture.workers.workers) {
             worker.isCut = false;
         }
@@ -330,7 +330,7 @@
                 return true;
             },
             absl::Seconds(120));
-        RC_ASSERT(fixture.workers.problems == std::vector<std::string>());
+        RC_ASSERT(fixture.workers.violations == std::vector<std::string>());
         RC_ASSERT(isOver);
     });
     CHECK(holds);
--- a/paddlepier/execution/dispatcherfixture.h
+++ b/paddlepier/execution/dispatcherfixture.h
@@ -24,10 +24,10 @@
 {
 
 /** How the network treats orders, in per cent. */
-struct Weather {
-    unsigned int lostBefore = 0;
-    unsigned int lostAfter = 0;
-    unsigned int late = 0;
+struct NetworkFaults {
+    unsigned int requestLossPercent = 0;
+    unsigned int answerLossPercent = 0;
+    unsigned int delayPercent = 0;
 };
 
 class DispatcherFixture
@@ -88,20 +88,20 @@
         registration.sequence = registration.born == this->workers.workers[id].born ? registration.sequence + 1 : 1;
         registration.born = this->workers.workers[id].born;
         this->apply(registration);
-        this->dispatcher->noteChange();
+        this->dispatcher->markChanged();
     }
 
     /** The life that is there announces another room. */
-    void setRoom(const std::string &id, std::uint32_t processors)
+    void setCapacity(const std::string &id, std::uint32_t processors)
     {
         this->registrations.at(id).capacity = std::make_unique<work::Demand>(processors, 10'000, 0);
         this->announce(id);
     }
 
     /** The life under @p id that was announced last. */
-    workload::Life lifeOf(const std::string &id) const
+    workload::Incarnation incarnationOf(const std::string &id) const
     {
-        return workload::lifeOf(this->state.findLatestWorker(id)->registration);
+        return workload::incarnationOf(this->state.findLatestWorker(id)->registration);
     }
 
     void addJob(const std::string &id, std::uint32_t tasks, std::uint32_t millis, std::uint32_t steps = 1, bool mayRunCopies = false, bool isGang = false)
@@ -123,7 +123,7 @@
         }
         this->apply(std::move(command));
         if (this->dispatcher) {
-            this->dispatcher->noteChange();
+            this->dispatcher->markChanged();
         }
     }
 
@@ -141,10 +141,10 @@
         step->demand = std::make_unique<work::Demand>(1000, 100, 0);
         change(*command.spec, *step);
         this->apply(std::move(command));
-        this->dispatcher->noteChange();
+        this->dispatcher->markChanged();
     }
 
-    void newLeader()
+    void electLeader()
     {
         this->answers.clear();
         this->watches.clear();
@@ -178,17 +178,17 @@
     FakeWorkers workers;
     /** What each worker announces. */
     std::map<std::string, work::RegisterWorkerT> registrations;
-    Weather weather;
+    NetworkFaults networkFaults;
     Timestamp now = absl::UnixEpoch() + absl::Hours(1);
     std::unique_ptr<Dispatcher> dispatcher;
     std::mt19937 random{7};
     Duration answerDelay = absl::Milliseconds(10);
     /** Another instance carries the polls out, and goes on with those of idle workers as long as it may; else a poll is sent once. */
-    bool hasCarrier = false;
+    bool hasRelay = false;
     /** Of jobs that are submitted now: `quick`, or `advised` where the policy service has to be asked. */
     std::string queueOfJobs = "quick";
     Duration adviceDelay = absl::ZeroDuration();
-    std::function<bool(const workload::StepKey &, const std::string &worker)> permits = [](const workload::StepKey &, const std::string &) { return true; };
+    std::function<bool(const workload::StepKey &, const std::string &worker)> isPermitted = [](const workload::StepKey &, const std::string &) { return true; };
     /** Sees every call before it is carried out. */
     std::function<void(const WorkerCall &)> onCall = [](const WorkerCall &) {};
     /** The same for every answer, before the dispatcher takes it. */
@@ -197,23 +197,23 @@
     std::function<void()> onStep = [] {};
 
 private:
-    struct Late {
+    struct DelayedCall {
         Timestamp at;
         WorkerCall call;
         /** Of the life that has it: what a worker holds back ends with it. */
         std::uint64_t born = 0;
     };
-    struct Answer {
+    struct PendingAnswer {
         Timestamp at;
         std::uint64_t call;
         WorkerAnswer answer;
     };
-    struct Advice {
+    struct PendingAdvice {
         Timestamp at;
         std::uint64_t question;
         AdviceAnswer answer;
     };
-    struct Commit {
+    struct PendingCommit {
         Timestamp at;
         Proposal proposal;
     };
@@ -228,12 +228,12 @@
         this->now += absl::Milliseconds(10);
         this->onStep();
         this->workers.advance(this->now);
-        this->carryOutLate();
+        this->executeDelayedCalls();
         if (!this->dispatcher) {
             return;
         }
-        this->goOnWatching();
-        this->deliver();
+        this->advanceWatches();
+        this->deliverDue();
         DispatchEffects effects = this->dispatcher->step(this->now, absl::ToUnixMillis(this->now));
         for (Proposal &proposal : effects.proposals) {
             this->commits.push_back({this->now + absl::Milliseconds(20), std::move(proposal)});
@@ -241,19 +241,19 @@
         for (const WorkerCall &call : effects.calls) {
             this->send(call);
         }
-        for (const AdviceQuestion &question : effects.questions) {
-            const bool isLost = this->chance(this->weather.lostAfter);
-            this->advice.push_back({this->now + question.cost + this->adviceDelay, question.id, isLost ? AdviceAnswer() : this->adviceOn(question)});
+        for (const AdviceRequest &question : effects.adviceRequests) {
+            const bool isLost = this->chance(this->networkFaults.answerLossPercent);
+            this->advice.push_back({this->now + question.decisionTime + this->adviceDelay, question.id, isLost ? AdviceAnswer() : this->adviceFor(question)});
         }
     }
 
-    AdviceAnswer adviceOn(const AdviceQuestion &question) const
+    AdviceAnswer adviceFor(const AdviceRequest &question) const
     {
         AdviceAnswer answer;
         answer.isAnswered = true;
-        for (const workload::Life &worker : question.workers) {
-            if (this->permits(question.step, worker.id)) {
-                answer.good.emplace_back().worker = worker.id;
+        for (const workload::Incarnation &worker : question.workers) {
+            if (this->isPermitted(question.step, worker.id)) {
+                answer.tickets.emplace_back().worker = worker.id;
             }
         }
         return answer;
@@ -264,58 +264,58 @@
         this->onCall(call);
         const bool isPoll = std::holds_alternative<PollOrder>(call.order);
         const WorkerAnswer silence;
-        if (this->workers.workers[call.worker.id].isCut || this->chance(this->weather.lostBefore)) {
+        if (this->workers.workers[call.worker.id].isCut || this->chance(this->networkFaults.requestLossPercent)) {
             this->answers.push_back({this->now + call.timeout, call.id, silence});
-        } else if (!isPoll && this->chance(this->weather.late)) {
-            this->late.push_back({this->now + absl::Milliseconds(2000 + this->random() % 10'000), call, this->workers.workers[call.worker.id].born});
+        } else if (!isPoll && this->chance(this->networkFaults.delayPercent)) {
+            this->delayedCalls.push_back({this->now + absl::Milliseconds(2000 + this->random() % 10'000), call, this->workers.workers[call.worker.id].born});
             this->answers.push_back({this->now + call.timeout, call.id, silence});
         } else {
-            const WorkerAnswer answer = this->workers.carryOut(this->now, call);
+            const WorkerAnswer answer = this->workers.execute(this->now, call);
             const auto *poll = std::get_if<PollOrder>(&call.order);
-            if (this->hasCarrier && poll != nullptr && poll->watch > absl::ZeroDuration() && reportsNoChange(call, *poll, answer)) {
+            if (this->hasRelay && poll != nullptr && poll->watch > absl::ZeroDuration() && reportsNoChange(call, *poll, answer)) {
                 this->watches.push_back({this->now + poll->watch, call});
                 return;
             }
-            const bool isLost = this->chance(this->weather.lostAfter);
+            const bool isLost = this->chance(this->networkFaults.answerLossPercent);
             this->answers.push_back({this->now + (isLost ? call.timeout : this->answerDelay), call.id, isLost ? silence : answer});
         }
     }
 
     /** Another instance goes on with the polls of idle workers until one of them changes. */
-    void goOnWatching()
+    void advanceWatches()
     {
         for (auto watch = this->watches.begin(); watch != this->watches.end();) {
             const WorkerCall &call = watch->call;
             const auto &order = std::get<PollOrder>(call.order);
             const bool isCut = this->workers.workers[call.worker.id].isCut;
-            const WorkerAnswer answer = isCut ? WorkerAnswer() : this->workers.carryOut(this->now, call);
+            const WorkerAnswer answer = isCut ? WorkerAnswer() : this->workers.execute(this->now, call);
             if (this->now < watch->until && reportsNoChange(call, order, answer)) {
                 ++watch;
                 continue;
             }
-            const bool isLost = this->chance(this->weather.lostAfter);
+            const bool isLost = this->chance(this->networkFaults.answerLossPercent);
             const Timestamp at = this->now + (isLost ? watch->until - this->now + call.timeout : isCut ? call.timeout : this->answerDelay);
             this->answers.push_back({at, call.id, isLost ? WorkerAnswer() : answer});
             watch = this->watches.erase(watch);
         }
     }
 
-    void carryOutLate()
+    void executeDelayedCalls()
     {
-        for (auto order = this->late.begin(); order != this->late.end();) {
+        for (auto order = this->delayedCalls.begin(); order != this->delayedCalls.end();) {
             if (order->at > this->now) {
                 ++order;
                 continue;
             }
             const FakeWorkers::Worker &worker = this->workers.workers[order->call.worker.id];
             if (!worker.isCut && worker.born == order->born) {
-                this->workers.carryOut(this->now, order->call);
+                this->workers.execute(this->now, order->call);
             }
-            order = this->late.erase(order);
+            order = this->delayedCalls.erase(order);
         }
     }
 
-    void deliver()
+    void deliverDue()
     {
         for (auto commit = this->commits.begin(); commit != this->commits.end();) {
             if (commit->at > this->now) {
@@ -327,36 +327,36 @@
             entry.command = std::move(commit->proposal.command);
             const std::uint64_t id = commit->proposal.id;
             commit = this->commits.erase(commit);
-            this->dispatcher->takeOutcome(this->now, id, this->state.apply(entry));
+            this->dispatcher->handleOutcome(this->now, id, this->state.apply(entry));
         }
         while (!this->advice.empty() && this->advice.front().at <= this->now) {
-            const Advice due = this->advice.front();
+            const PendingAdvice due = this->advice.front();
             this->advice.pop_front();
-            this->dispatcher->takeAdvice(this->now, due.question, due.answer);
+            this->dispatcher->handleAdvice(this->now, due.question, due.answer);
         }
         for (auto answer = this->answers.begin(); answer != this->answers.end();) {
             if (answer->at > this->now) {
                 ++answer;
                 continue;
             }
-            const Answer due = *answer;
+            const PendingAnswer due = *answer;
             answer = this->answers.erase(answer);
             this->onAnswer(due.call);
-            this->dispatcher->takeAnswer(this->now, due.call, due.answer);
+            this->dispatcher->handleAnswer(this->now, due.call, due.answer);
         }
     }
 
     std::uint64_t term = 0;
-    std::deque<Late> late;
+    std::deque<DelayedCall> delayedCalls;
     struct Watch {
         Timestamp until;
         WorkerCall call;
     };
     std::deque<Watch> watches;
-    std::deque<Answer> answers;
+    std::deque<PendingAnswer> answers;
     /** Answered one after the other. */
-    std::deque<Advice> advice;
-    std::deque<Commit> commits;
+    std::deque<PendingAdvice> advice;
+    std::deque<PendingCommit> commits;
 };
 
 } // namespace paddlepier::execution
--- a/paddlepier/execution/evacuation_test.cpp
+++ b/paddlepier/execution/evacuation_test.cpp
@@ -24,7 +24,7 @@
             this->registrations.at(id).zone = *id == 'n' ? "north" : "south";
             this->apply(this->registrations.at(id));
         }
-        this->newLeader();
+        this->electLeader();
         this->runFor(absl::Seconds(1));
         this->onCall = [this](const WorkerCall &call) {
             const bool isEvacuated = this->state.isEvacuated(*this->state.findWorker(call.worker));
@@ -38,7 +38,7 @@
         command.dataCentre = dataCentre;
         command.isEvacuated = isEvacuated;
         this->apply(std::move(command));
-        this->dispatcher->noteChange();
+        this->dispatcher->markChanged();
     }
 
     std::size_t runsIn(char dataCentre)
@@ -63,29 +63,29 @@
     CHECK(this->runsIn('n') == 8);
     CHECK(this->runUntil([this] { return this->isCompleted("a") && this->isCompleted("b"); }, absl::Seconds(10)));
     CHECK(this->lateStarts == 0);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(EvacuationFixture, "startsUnderWay_whenTheirDataCentreIsEvacuated_areTakenBack")
 {
-    this->weather.lostBefore = 100;
+    this->networkFaults.requestLossPercent = 100;
     this->addJob("a", 16, 1000);
-    REQUIRE(this->runUntil([this] { return this->state.findJob("a")->runsUnderWay() == 16; }, absl::Seconds(2)));
+    REQUIRE(this->runUntil([this] { return this->state.findJob("a")->activeRunCount() == 16; }, absl::Seconds(2)));
     this->evacuate("north");
-    this->weather.lostBefore = 0;
+    this->networkFaults.requestLossPercent = 0;
     REQUIRE(this->runUntil([this] { return this->isCompleted("a"); }, absl::Seconds(30)));
     CHECK(this->lateStarts == 0);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(EvacuationFixture, "newLeader_whilePlacementsOfTheEarlierOneAreOpen_startsNoneInAnEvacuatedDataCentre")
 {
-    this->weather.lostBefore = 100;
+    this->networkFaults.requestLossPercent = 100;
     this->addJob("a", 16, 1000);
-    REQUIRE(this->runUntil([this] { return this->state.findJob("a")->runsUnderWay() == 16; }, absl::Seconds(2)));
+    REQUIRE(this->runUntil([this] { return this->state.findJob("a")->activeRunCount() == 16; }, absl::Seconds(2)));
     this->evacuate("north");
-    this->weather.lostBefore = 0;
-    this->newLeader();
+    this->networkFaults.requestLossPercent = 0;
+    this->electLeader();
     REQUIRE(this->runUntil([this] { return this->isCompleted("a"); }, absl::Seconds(30)));
     CHECK(this->lateStarts == 0);
 }
@@ -94,7 +94,7 @@
 {
     this->queueOfJobs = "advised";
     std::set<std::string> asked;
-    this->permits = [&asked](const workload::StepKey &, const std::string &worker) {
+    this->isPermitted = [&asked](const workload::StepKey &, const std::string &worker) {
         asked.insert(worker);
         return true;
     };
@@ -112,7 +112,7 @@
     this->addJob("a", 2, 500);
     this->runFor(absl::Seconds(14));
     CHECK(this->runsIn('n') + this->runsIn('s') == 0);
-    CHECK(this->dispatcher->waitOf("a") == "step a.0.0 waits: evacuated");
+    CHECK(this->dispatcher->longWaitReason("a") == "step a.0.0 waits: evacuated");
     this->evacuate("south", false);
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }, absl::Seconds(3)));
     CHECK(this->lateStarts == 0);
--- a/paddlepier/execution/fakeworkers.h
+++ b/paddlepier/execution/fakeworkers.h
@@ -35,15 +35,15 @@
         Timestamp stopsAt = absl::InfiniteFuture();
         std::uint32_t processors = 0;
         /** Of a gang's member: until when it waits for the others. */
-        Timestamp aloneAt = absl::InfiniteFuture();
+        Timestamp gangDeadline = absl::InfiniteFuture();
         /** Another member of its gang has ended. */
         bool isBroken = false;
         /** Of a lasting task: when it is at work; infinite for any other. */
-        Timestamp atWorkFrom = absl::InfiniteFuture();
+        Timestamp readyAt = absl::InfiniteFuture();
 
         std::uint32_t percentAt(Timestamp now) const
         {
-            if (this->atWorkFrom <= now) {
+            if (this->readyAt <= now) {
                 return 100;
             }
             return static_cast<std::uint32_t>(100 * absl::FDivDuration(now - this->startedAt, this->endsAt - this->startedAt));
@@ -53,22 +53,22 @@
     struct Worker {
         /** Unix millisecond of its start; 0 if it doesn't tell it. */
         std::uint64_t born = 0;
-        Timestamp clockBegan = absl::UnixEpoch();
+        Timestamp clockStart = absl::UnixEpoch();
         std::uint64_t fence = 0;
         std::int64_t leaseEnd = 0;
-        std::uint64_t lastEnd = 0;
+        std::uint64_t lastSequence = 0;
         std::map<workload::TaskKey, Run> runs;
-        std::map<workload::TaskKey, std::uint32_t> highest;
+        std::map<workload::TaskKey, std::uint32_t> highestRuns;
         std::vector<ListedEnd> ended;
         /** Ends up to this number were still listed when the lease ran out: the pages don't hold the leader to them. */
-        std::uint64_t lapsedEnd = 0;
+        std::uint64_t lapsedSequence = 0;
         std::uint32_t capacity = 4000;
         bool isCut = false;
-        bool failsAll = false;
+        bool isFailing = false;
         /** It has crashed; what is sent to its address reaches another life. */
-        bool isOver = false;
+        bool hasEnded = false;
         /** Runs that begin now never get on. */
-        bool stalls = false;
+        bool isStalling = false;
         /** When it crashed; infinite while it lives. */
         Timestamp crashedAt = absl::InfiniteFuture();
     };
@@ -77,7 +77,7 @@
         Started,
         Ended,
         /** The leader has taken note of the end, so that it stands. */
-        Noted
+        Acknowledged
     };
 
     struct Event {
@@ -98,15 +98,15 @@
     /** A worker's own clock, in milliseconds; it runs two per cent slow and begins anew with each life. */
     static std::int64_t clock(const Worker &worker, Timestamp now)
     {
-        return absl::ToInt64Milliseconds((now - worker.clockBegan) * 98 / 100);
+        return absl::ToInt64Milliseconds((now - worker.clockStart) * 98 / 100);
     }
 
     /** Carries an order out now. */
-    WorkerAnswer carryOut(Timestamp now, const WorkerCall &call)
+    WorkerAnswer execute(Timestamp now, const WorkerCall &call)
     {
         Worker &worker = this->workers[call.worker.id];
         WorkerAnswer answer;
-        if (worker.isOver) {
+        if (worker.hasEnded) {
             answer.kind = AnswerKind::OtherLife;
             return answer;
         }
@@ -132,10 +132,10 @@
     /** Ends what is due. */
     void advance(Timestamp now)
     {
-        this->crashDue(now);
+        this->crashDueWorkers(now);
         for (auto &[id, worker] : this->workers) {
             if (clock(worker, now) >= worker.leaseEnd) {
-                worker.lapsedEnd = worker.lastEnd;
+                worker.lapsedSequence = worker.lastSequence;
             }
             for (auto run = worker.runs.begin(); run != worker.runs.end();) {
                 const std::optional<work::RunEndKind> kind = this->endOf(now, worker, *run);
@@ -144,10 +144,10 @@
                     continue;
                 }
                 const auto [task, ended] = *run;
-                worker.highest[task] = std::max(worker.highest[task], ended.number);
-                worker.ended.push_back({++worker.lastEnd, task, ended.number, *kind, ""});
+                worker.highestRuns[task] = std::max(worker.highestRuns[task], ended.number);
+                worker.ended.push_back({++worker.lastSequence, task, ended.number, *kind, ""});
                 run = worker.runs.erase(run);
-                this->tell({EventKind::Ended, id, task, ended.number, *kind});
+                this->notify({EventKind::Ended, id, task, ended.number, *kind});
                 if (*kind != work::RunEndKind::Done) {
                     this->breakGang(task, ended.number);
                 }
@@ -159,10 +159,10 @@
     void crash(const std::string &id)
     {
         Worker &worker = this->workers[id];
-        worker.isOver = true;
+        worker.hasEnded = true;
         const std::map<workload::TaskKey, Run> gone = std::exchange(worker.runs, {});
         for (const auto &[task, run] : gone) {
-            this->tell({EventKind::Ended, id, task, run.number, work::RunEndKind::WorkerLost});
+            this->notify({EventKind::Ended, id, task, run.number, work::RunEndKind::WorkerLost});
             this->breakGang(task, run.number);
         }
     }
@@ -175,7 +175,7 @@
         this->workers[id] = Worker();
         this->workers[id].capacity = capacity;
         this->workers[id].born = static_cast<std::uint64_t>(absl::ToUnixMillis(now));
-        this->workers[id].clockBegan = now;
+        this->workers[id].clockStart = now;
     }
 
     /** The same, and nothing answers at its address until a test says so. */
@@ -194,36 +194,36 @@
     }
 
     std::map<std::string, Worker> workers;
-    std::vector<std::string> problems;
+    std::vector<std::string> violations;
     std::size_t starts = 0;
     /** Reads along; may be empty. */
-    std::function<void(const Event &)> observe;
+    std::function<void(const Event &)> observer;
     /** Whether a run fails by the task's own fault; empty: none does. */
-    std::function<bool(const workload::TaskKey &, std::uint32_t)> fails;
+    std::function<bool(const workload::TaskKey &, std::uint32_t)> isFailing;
     /** Whether a worker refuses the start of a task as invalid; empty: none does. */
-    std::function<bool(const workload::TaskKey &)> refuses;
+    std::function<bool(const workload::TaskKey &)> isRefused;
     /** Whether a run takes its worker down; empty: none does. */
-    std::function<bool(const workload::TaskKey &, std::uint32_t)> crashes;
+    std::function<bool(const workload::TaskKey &, std::uint32_t)> isCrashing;
     /** How long after its start. */
-    Duration crashesAfter = absl::Milliseconds(10);
+    Duration crashDelay = absl::Milliseconds(10);
     /** How long a gang's member waits for the others. */
-    Duration gangPatience = absl::Seconds(3);
+    Duration gangTimeout = absl::Seconds(3);
 
 private:
-    void tell(const Event &event) const
+    void notify(const Event &event) const
     {
-        if (this->observe) {
-            this->observe(event);
+        if (this->observer) {
+            this->observer(event);
         }
     }
 
     /** Crashes the workers whose time has come: they are silent until a test lets another life answer at their address. */
-    void crashDue(Timestamp now)
+    void crashDueWorkers(Timestamp now)
     {
         for (auto &[id, worker] : this->workers) {
             std::vector<workload::TaskKey> causes;
             for (const auto &[task, run] : worker.runs) {
-                if (this->crashes && this->crashes(task, run.number) && run.startedAt + this->crashesAfter <= now) {
+                if (this->isCrashing && this->isCrashing(task, run.number) && run.startedAt + this->crashDelay <= now) {
                     causes.push_back(task);
                 }
             }
@@ -238,12 +238,12 @@
     }
 
     /** Starts of a task that come after three workers have crashed under it. */
-    void noteStartAfterCrashes(const workload::TaskKey &task)
+    void checkStartAfterCrashes(const workload::TaskKey &task)
     {
         constexpr std::uint32_t enoughCrashes = 3;
         constexpr std::uint32_t mostFurtherStarts = 2;
         if (this->crashesUnder(task) >= enoughCrashes && ++this->startsAfterCrashes[task] > mostFurtherStarts) {
-            this->problems.push_back("started again and again after three workers had crashed under it: " + task.text());
+            this->violations.push_back("started again and again after three workers had crashed under it: " + task.text());
         }
     }
 
@@ -259,13 +259,13 @@
         if (run.isBroken) {
             return work::RunEndKind::GangBroken;
         }
-        if (run.aloneAt <= now) {
+        if (run.gangDeadline <= now) {
             return work::RunEndKind::GangIncomplete;
         }
         if (run.endsAt > now) {
             return std::nullopt;
         }
-        return worker.failsAll || (this->fails && this->fails(entry.first, run.number)) ? work::RunEndKind::Failed : work::RunEndKind::Done;
+        return worker.isFailing || (this->isFailing && this->isFailing(entry.first, run.number)) ? work::RunEndKind::Failed : work::RunEndKind::Done;
     }
 
     /** Members of the gang of @p task that run under the same number. */
@@ -297,7 +297,7 @@
         const std::vector<Run *> members = this->gangOf(task, number);
         for (Run *member : members) {
             const bool isWhole = members.size() == step.count;
-            member->aloneAt = isWhole ? absl::InfiniteFuture() : std::min(member->aloneAt, member->startedAt + this->gangPatience);
+            member->gangDeadline = isWhole ? absl::InfiniteFuture() : std::min(member->gangDeadline, member->startedAt + this->gangTimeout);
             member->endsAt = isWhole ? now + absl::Milliseconds(step.estimatedMillis) : absl::InfiniteFuture();
         }
     }
@@ -308,50 +308,50 @@
         if (known != worker.runs.end() && known->second.number == order.run) {
             return AnswerKind::Accepted;
         }
-        if (order.run <= worker.highest[order.task]) {
+        if (order.run <= worker.highestRuns[order.task]) {
             return AnswerKind::OldRun;
         }
         if (call.leaseEndOnWorkerClock <= clock(worker, now)) {
             return AnswerKind::LeaseOver;
         }
-        if (this->refuses && this->refuses(order.task)) {
+        if (this->isRefused && this->isRefused(order.task)) {
             return AnswerKind::Invalid;
         }
         const work::StepSpecT &step = this->lookup(order.task);
         for (const auto &[id, other] : this->workers) {
             if (other.runs.contains(order.task) && !step.mayRunCopies) {
-                this->problems.push_back("twice: " + order.task.text());
+                this->violations.push_back("twice: " + order.task.text());
             }
         }
-        if (this->doneAndNoted.contains(order.task) && !step.mayRunCopies) {
-            this->problems.push_back("started after its end: " + order.task.text());
+        if (this->acknowledgedDone.contains(order.task) && !step.mayRunCopies) {
+            this->violations.push_back("started after its end: " + order.task.text());
         }
         Run run{order.run, now, now + absl::Milliseconds(step.estimatedMillis), absl::InfiniteFuture(), step.demand->milliProcessors()};
-        const bool failsInTime = step.isLasting && this->fails && this->fails(order.task, order.run);
-        run.endsAt = worker.stalls || (step.isLasting && !failsInTime) ? now + absl::Hours(1000) : run.endsAt;
+        const bool failsInTime = step.isLasting && this->isFailing && this->isFailing(order.task, order.run);
+        run.endsAt = worker.isStalling || (step.isLasting && !failsInTime) ? now + absl::Hours(1000) : run.endsAt;
         if (step.isLasting) {
-            run.atWorkFrom = now + absl::Milliseconds(step.estimatedMillis);
+            run.readyAt = now + absl::Milliseconds(step.estimatedMillis);
         }
         worker.runs[order.task] = run;
         ++this->starts;
-        this->noteStartAfterCrashes(order.task);
+        this->checkStartAfterCrashes(order.task);
         if (step.isGang) {
             this->joinGang(now, order.task, order.run, step);
         }
-        this->tell({EventKind::Started, call.worker.id, order.task, order.run, {}});
+        this->notify({EventKind::Started, call.worker.id, order.task, order.run, {}});
         std::uint32_t used = 0;
         for (const auto &[task, other] : worker.runs) {
             used += other.processors;
         }
         if (used > worker.capacity) {
-            this->problems.push_back("over capacity: " + call.worker.id);
+            this->violations.push_back("over capacity: " + call.worker.id);
         }
         return AnswerKind::Accepted;
     }
 
     static void stop(Timestamp now, Worker &worker, const StopOrder &order)
     {
-        worker.highest[order.task] = std::max(worker.highest[order.task], order.run);
+        worker.highestRuns[order.task] = std::max(worker.highestRuns[order.task], order.run);
         const auto run = worker.runs.find(order.task);
         if (run != worker.runs.end() && run->second.number == order.run) {
             run->second.stopsAt = std::min(run->second.stopsAt, now + absl::Milliseconds(150));
@@ -363,12 +363,12 @@
         answer.born = worker.born;
         const auto isNoted = [&](const ListedEnd &end) { return end.sequence <= order.lastSequence; };
         for (const ListedEnd &end : worker.ended) {
-            if (!isNoted(end) || end.sequence <= worker.lapsedEnd) {
+            if (!isNoted(end) || end.sequence <= worker.lapsedSequence) {
                 continue;
             }
-            this->tell({EventKind::Noted, id, end.task, end.run, end.kind});
+            this->notify({EventKind::Acknowledged, id, end.task, end.run, end.kind});
             if (end.kind == work::RunEndKind::Done) {
-                this->doneAndNoted.insert(end.task);
+                this->acknowledgedDone.insert(end.task);
             }
         }
         worker.ended.erase(std::remove_if(worker.ended.begin(), worker.ended.end(), isNoted), worker.ended.end());
@@ -380,7 +380,7 @@
     }
 
     const Lookup lookup;
-    std::set<workload::TaskKey> doneAndNoted;
+    std::set<workload::TaskKey> acknowledgedDone;
     std::map<workload::TaskKey, std::uint32_t> crashCounts;
     std::map<workload::TaskKey, std::uint32_t> startsAfterCrashes;
 };
--- a/paddlepier/execution/gangs_test.cpp
+++ b/paddlepier/execution/gangs_test.cpp
@@ -20,11 +20,11 @@
         for (const char *id : {"w1", "w2", "w3"}) {
             this->addWorker(id, 1000);
         }
-        this->workers.observe = [this](const FakeWorkers::Event &event) {
+        this->workers.observer = [this](const FakeWorkers::Event &event) {
             const bool isEnd = event.kind == FakeWorkers::EventKind::Ended;
             this->aloneEnds += isEnd && event.end == work::RunEndKind::GangIncomplete ? 1 : 0;
         };
-        this->newLeader();
+        this->electLeader();
     }
 
     /** The first start of a run on @p id is treated by @p action before it arrives. */
@@ -49,7 +49,7 @@
     {
         this->addWorker("w1");
         this->addWorker("gone");
-        this->newLeader();
+        this->electLeader();
         this->runFor(absl::Seconds(1));
         this->onCall = [this](const WorkerCall &call) { this->callsToGone += call.worker.id == "gone" ? 1 : 0; };
     }
@@ -69,11 +69,11 @@
 TEST_CASE_METHOD(GangFixture, "gang_withAMemberThatIsRefused_leavesNobodyWaiting")
 {
     // As if that run had been stopped there already.
-    this->atFirstStartOn("w3", [this](const StartOrder &start) { this->workers.workers["w3"].highest[start.task] = start.run; });
+    this->atFirstStartOn("w3", [this](const StartOrder &start) { this->workers.workers["w3"].highestRuns[start.task] = start.run; });
     this->addJob("a", 3, 400, 1, false, true);
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }, absl::Seconds(4)));
     CHECK(this->aloneEnds == 0);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(GangFixture, "gang_withAMemberOnASilentWorker_leavesNobodyWaiting")
@@ -86,7 +86,7 @@
     this->workers.workers["w3"].isCut = false;
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }));
     CHECK(this->aloneEnds == 0);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(GangFixture, "gang_acrossAChangeOfLeader_beginsAgainAsAWhole")
@@ -96,15 +96,15 @@
     this->addJob("a", 3, 400, 1, false, true);
     REQUIRE(this->runUntil([this] { return this->workers.workers["w1"].runs.size() == 1 && this->isTreated; }, absl::Seconds(1)));
     this->workers.workers["w3"].isCut = false;
-    this->newLeader();
+    this->electLeader();
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }, absl::Seconds(4)));
     CHECK(this->aloneEnds == 0);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(GoneWorkerFixture, "worker_thatHasLeft_isAskedSeldom")
 {
-    this->dispatcher->noteAnnouncement(this->now, {"gone"}, 7, absl::Milliseconds(500));
+    this->dispatcher->recordAnnouncement(this->now, {"gone"}, 7, absl::Milliseconds(500));
     this->runFor(absl::Milliseconds(500));
     this->workers.workers["gone"].isCut = true;
     this->runFor(absl::Seconds(3));
@@ -118,7 +118,7 @@
     this->runFor(absl::Seconds(7));
     CHECK(this->callsIn(absl::Seconds(5)) <= 3);
     this->workers.workers["gone"].isCut = false;
-    this->dispatcher->noteAnnouncement(this->now, {"gone"}, 9, absl::InfiniteDuration());
+    this->dispatcher->recordAnnouncement(this->now, {"gone"}, 9, absl::InfiniteDuration());
     CHECK(this->callsIn(absl::Milliseconds(600)) >= 1);
 }
 
--- a/paddlepier/execution/idlewatch_test.cpp
+++ b/paddlepier/execution/idlewatch_test.cpp
@@ -16,7 +16,7 @@
 public:
     IdleWatchFixture()
     {
-        this->hasCarrier = true;
+        this->hasRelay = true;
         this->onCall = [this](const WorkerCall &call) {
             const auto *poll = std::get_if<PollOrder>(&call.order);
             this->polls += poll != nullptr ? 1 : 0;
@@ -29,7 +29,7 @@
         for (std::size_t number = 0; number < workerCount; ++number) {
             this->addWorker(absl::StrCat("w", number));
         }
-        this->newLeader();
+        this->electLeader();
         this->runFor(absl::Seconds(2));
         this->polls = 0;
     }
@@ -55,7 +55,7 @@
     this->begin(4);
     this->addJob("a", 4, 300);
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }, absl::Milliseconds(500)));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(IdleWatchFixture, "run_longerThanALease_onAWorkerThatWasIdle_keepsItsLease")
@@ -69,13 +69,13 @@
 TEST_CASE_METHOD(IdleWatchFixture, "watchWhoseAnswerIsLost_isAbandonedOnceARunIsPlaced")
 {
     this->begin(4);
-    this->weather.lostAfter = 100;
+    this->networkFaults.answerLossPercent = 100;
     this->addJob("a", 1, 200);
     this->runFor(absl::Milliseconds(400));
-    this->weather.lostAfter = 0;
+    this->networkFaults.answerLossPercent = 0;
     // The poll under way would go on for ten seconds.
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }, absl::Seconds(4)));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(IdleWatchFixture, "idleWorker_thatFallsSilent_isNoticedByItsWatch")
--- a/paddlepier/execution/lives.cpp
+++ b/paddlepier/execution/incarnations.cpp
@@ -31,9 +31,9 @@
 
 void Dispatcher::expireLeases(Timestamp now)
 {
-    for (const workload::Life &life : this->needAttention) {
+    for (const workload::Incarnation &life : this->workersNeedingAttention) {
         const WorkerView &view = this->views.at(life);
-        if (view.isReachable() || !view.leaseIsOver(now)) {
+        if (view.isReachable() || !view.hasLeaseExpired(now)) {
             continue;
         }
         std::vector<std::pair<workload::TaskKey, RunTrack>> expired;
@@ -43,7 +43,7 @@
                 expired.emplace_back(key, track->second);
             }
         }
-        this->endRuns(life, expired, work::RunEndKind::Expired);
+        this->proposeEnds(life, expired, work::RunEndKind::Expired);
         this->expireSuperseded(life);
         const bool isSilent = now - std::max(view.announcedAt, view.lastAnswerAt()) > forgottenAfter;
         if (isSilent && this->state.findWorker(life)->runs.empty()) {
@@ -53,7 +53,7 @@
     }
 }
 
-work::RunAtLoss Dispatcher::atLoss(const workload::TaskKey &key, const RunTrack &track) const
+work::RunAtLoss Dispatcher::stateAtLoss(const workload::TaskKey &key, const RunTrack &track) const
 {
     if (!track.isAdopted && track.startCalls == 0) {
         return work::RunAtLoss::NotBegun;
@@ -71,7 +71,7 @@
     return wasThere ? work::RunAtLoss::Fresh : work::RunAtLoss::Unclear;
 }
 
-std::vector<std::unique_ptr<work::RunEndT>> Dispatcher::lostRuns(const workload::Life &worker) const
+std::vector<std::unique_ptr<work::RunEndT>> Dispatcher::lostRuns(const workload::Incarnation &worker) const
 {
     std::vector<std::unique_ptr<work::RunEndT>> lost;
     const auto add = [&lost](const workload::TaskKey &key, std::uint32_t run, work::RunAtLoss atLoss) {
@@ -88,7 +88,7 @@
     for (const workload::TaskKey &key : record->runs) {
         const auto track = this->tracks.find(key);
         if (track != this->tracks.end() && track->second.worker == worker) {
-            add(key, track->second.run, this->atLoss(key, track->second));
+            add(key, track->second.run, this->stateAtLoss(key, track->second));
         }
     }
     for (const auto &[key, run] : record->superseded) {
@@ -108,13 +108,13 @@
     const Timestamp answeredAt = view == this->views.end() ? now : view->second.lastAnswerAt();
     log::info("dispatch",
               "worker.lost",
-              {{"worker", workload::Life{command.id, command.born}.text()},
+              {{"worker", workload::Incarnation{command.id, command.born}.text()},
                {"how", work::EnumNameLifeEnd(command.end)},
                {"silentMillis", absl::ToInt64Milliseconds(std::min(now - answeredAt, absl::Hours(1)))},
                {"runs", runs}});
 }
 
-void Dispatcher::removeWorker(Timestamp now, const workload::Life &worker, work::LifeEnd how, const NextLife &next)
+void Dispatcher::removeWorker(Timestamp now, const workload::Incarnation &worker, work::LifeEnd how, const Successor &next)
 {
     const workload::Worker *record = this->state.findWorker(worker);
     const bool hasSaidSo = record != nullptr && record->registration.isDraining;
@@ -122,7 +122,7 @@
     command.id = worker.id;
     command.born = worker.born;
     command.nextBorn = next.born;
-    for (const workload::TaskKey &key : next.moved) {
+    for (const workload::TaskKey &key : next.movedRuns) {
         auto &run = command.moved.emplace_back(std::make_unique<work::RunEndT>());
         run->task = key.record();
         run->run = this->state.findJob(key.job)->task(key).lastRun;
@@ -136,7 +136,7 @@
     const auto view = this->views.find(worker);
     if (view != this->views.end()) {
         view->second.isFenced = true; // no more calls to a life that is over
-        this->noteView(worker);
+        this->markViewChanged(worker);
     }
     work::CommandUnion made;
     made.Set(std::move(command));
@@ -151,7 +151,7 @@
     }
 }
 
-bool Dispatcher::isOfOtherLife(Timestamp now, const PendingCall &call, const WorkerAnswer &answer)
+bool Dispatcher::isFromOtherIncarnation(Timestamp now, const PendingCall &call, const WorkerAnswer &answer)
 {
     const bool isList = std::holds_alternative<PollOrder>(call.order) && answer.kind == AnswerKind::Accepted;
     if (answer.born == call.worker.born || (answer.born == 0 && !isList)) {
@@ -160,25 +160,25 @@
     log::info("dispatch", "worker.other-life", {{"worker", call.worker.text()}, {"born", answer.born}});
     // An earlier life's answer is late, and one that doesn't say whose it is isn't a worker's that has told its birth.
     if (answer.born > call.worker.born) {
-        this->views.at(call.worker).noteLaterLife(now, this->options.longestLease);
+        this->views.at(call.worker).recordSuccessor(now, this->options.maxLease);
     }
     return true;
 }
 
-void Dispatcher::removeOtherLives(Timestamp now, const workload::Life &worker, Timestamp pollSentAt, const WorkerAnswer &answer)
+void Dispatcher::removeOtherIncarnations(Timestamp now, const workload::Incarnation &worker, Timestamp pollSentAt, const WorkerAnswer &answer)
 {
-    std::vector<std::pair<workload::Life, NextLife>> over;
+    std::vector<std::pair<workload::Incarnation, Successor>> over;
     const auto &known = this->state.workers();
     for (auto earlier = known.lower_bound({worker.id, 0}); earlier != known.end() && worker.isAfter(earlier->first); ++earlier) {
-        over.push_back({earlier->first, {worker.born, this->takeOverRuns(worker, earlier->first, answer)}});
+        over.push_back({earlier->first, {worker.born, this->transferRuns(worker, earlier->first, answer)}});
     }
     const work::RegisterWorkerT &alive = this->state.findWorker(worker)->registration;
-    std::set<workload::Life> replaced = this->state.livesAtAddress(alive.address);
+    std::set<workload::Incarnation> replaced = this->state.incarnationsAtAddress(alive.address);
     if (!alive.machine.empty()) {
-        const std::set<workload::Life> &ofMachine = this->state.livesOfMachine(alive.machine);
+        const std::set<workload::Incarnation> &ofMachine = this->state.incarnationsOfMachine(alive.machine);
         replaced.insert(ofMachine.begin(), ofMachine.end());
     }
-    for (const workload::Life &life : replaced) {
+    for (const workload::Incarnation &life : replaced) {
         const auto view = this->views.find(life);
         // One that joined after the poll was sent may be a later life.
         const bool isEarlier = view == this->views.end() || view->second.knownSince < pollSentAt;
@@ -188,12 +188,12 @@
     }
     for (const auto &[life, next] : over) {
         const std::size_t runs = this->state.findWorker(life)->runs.size();
-        log::info("dispatch", "worker.replaced", {{"worker", life.text()}, {"by", worker.text()}, {"runs", runs}, {"moved", next.moved.size()}});
+        log::info("dispatch", "worker.replaced", {{"worker", life.text()}, {"by", worker.text()}, {"runs", runs}, {"moved", next.movedRuns.size()}});
         this->removeWorker(now, life, work::LifeEnd::Crashed, next);
     }
 }
 
-std::vector<workload::TaskKey> Dispatcher::takeOverRuns(const workload::Life &worker, const workload::Life &earlier, const WorkerAnswer &answer)
+std::vector<workload::TaskKey> Dispatcher::transferRuns(const workload::Incarnation &worker, const workload::Incarnation &earlier, const WorkerAnswer &answer)
 {
     std::vector<workload::TaskKey> moved;
     const auto take = [&](const workload::TaskKey &key, std::uint32_t run) {
@@ -214,7 +214,7 @@
 
 void Dispatcher::drainWorkers(Timestamp now)
 {
-    for (const workload::Life &life : this->needAttention) {
+    for (const workload::Incarnation &life : this->workersNeedingAttention) {
         const WorkerView &view = this->views.at(life);
         if (view.leavesAt == absl::InfiniteFuture() || now + this->options.stopGrace + leavingMargin < view.leavesAt) {
             continue;
--- a/paddlepier/execution/newterm_test.cpp
+++ b/paddlepier/execution/newterm_test.cpp
@@ -45,13 +45,13 @@
     void adoptRunsThatNeverBegan(std::uint32_t tasks, bool mayRunCopies = false)
     {
         this->addWorker("w1");
-        this->newLeader();
+        this->electLeader();
         this->runFor(absl::Seconds(1));
-        this->weather.lostBefore = 100;
+        this->networkFaults.requestLossPercent = 100;
         this->addJob("a", tasks, 1000, 1, mayRunCopies);
         REQUIRE(this->runUntil([this, tasks] { return this->state.findWorker({"w1"})->runs.size() == tasks; }, absl::Seconds(1)));
-        this->weather.lostBefore = 0;
-        this->newLeader();
+        this->networkFaults.requestLossPercent = 0;
+        this->electLeader();
     }
 
     std::size_t stops = 0;
@@ -72,26 +72,26 @@
     CHECK(this->runUntil([this] { return this->workers.starts == 4; }, absl::Milliseconds(300)));
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }, absl::Seconds(3)));
     CHECK(this->stops == 0);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(NewTermFixture, "adoptedRun_whoseStartComesLate_doesNotBegin")
 {
     this->addWorker("w1");
     this->addWorker("w2");
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
-    this->weather.late = 100;
+    this->networkFaults.delayPercent = 100;
     this->addJob("a", 4, 1000);
     this->runFor(absl::Milliseconds(60));
-    this->weather.late = 0;
-    this->newLeader();
+    this->networkFaults.delayPercent = 0;
+    this->electLeader();
     // The late starts are carried out after two to twelve seconds.
     this->runFor(absl::Seconds(14));
     CHECK(this->isCompleted("a"));
     CHECK(this->workers.starts == 4);
     CHECK(this->stops == 0);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(NewTermFixture, "adoptedRun_onAWorkerThatIsCutOff_keepsItsTaskAndRoom")
@@ -107,20 +107,20 @@
 TEST_CASE_METHOD(NewTermFixture, "adoptedRun_whoseEndIsBeyondAFullList_isNotRunAgain")
 {
     this->addWorker("w1");
-    this->newLeader();
+    this->electLeader();
     this->addJob("a", 1, 200);
     REQUIRE(this->runUntil([this] { return this->workers.workers["w1"].runs.size() == 1; }, absl::Seconds(1)));
     this->dispatcher.reset();
     FakeWorkers::Worker &worker = this->workers.workers["w1"];
     for (std::uint32_t number = 0; number < 500; ++number) {
-        worker.ended.push_back({++worker.lastEnd, workload::TaskKey("forgotten", 0, 0, number), 1, work::RunEndKind::Stopped, ""});
+        worker.ended.push_back({++worker.lastSequence, workload::TaskKey("forgotten", 0, 0, number), 1, work::RunEndKind::Stopped, ""});
     }
     this->runFor(absl::Milliseconds(300));
     REQUIRE(worker.ended.size() == 501);
-    this->newLeader();
+    this->electLeader();
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }, absl::Seconds(1)));
     CHECK(this->workers.starts == 1);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(NewTermFixture, "supersededRun_ofAnEarlierTermThatNeverBegan_isOverWithoutAStop")
@@ -131,12 +131,12 @@
     this->workers.workers["w1"].isCut = true;
     this->runFor(absl::Seconds(1));
     REQUIRE(this->state.findWorker({"w1"})->superseded.size() == 4);
-    this->newLeader();
+    this->electLeader();
     this->workers.workers["w1"].isCut = false;
     CHECK(this->runUntil([this] { return this->state.findWorker({"w1"})->superseded.empty(); }, absl::Seconds(1)));
     CHECK(this->stops == 0);
     CHECK(this->state.findWorker({"w1"})->freeMilliProcessors() == 4000);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(NewTermFixture, "supersededRun_afterAnEarlierOneOfItsTaskWasSettled_isStoppedToo")
@@ -145,20 +145,20 @@
     // Two that have no room, so that the one that is late isn't half of the workers.
     this->addWorker("w2", 0);
     this->addWorker("w3", 0);
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Milliseconds(1200));
     this->addJob("a", 1, 3000, 1, true);
     const std::map<workload::TaskKey, workload::SupersededRun> &superseded = this->state.findWorker({"w1"})->superseded;
     for (const std::uint32_t run : {1U, 2U}) {
-        this->weather.late = 100;
+        this->networkFaults.delayPercent = 100;
         REQUIRE(this->runUntil([&] { return !superseded.empty(); }, absl::Seconds(2)));
         REQUIRE(superseded.begin()->second.run == run);
-        this->weather.late = 0;
+        this->networkFaults.delayPercent = 0;
         REQUIRE(this->runUntil([&] { return superseded.empty(); }, absl::Seconds(2)));
         // Its start may still come, unless a stop comes first.
         CHECK(this->stoppedRuns.contains(run));
     }
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(NewTermFixture, "firstPolls_ofManyWorkers_arePaced")
@@ -166,7 +166,7 @@
     for (int number = 0; number < 150; ++number) {
         this->addWorker(absl::StrCat("w", number));
     }
-    this->newLeader();
+    this->electLeader();
     std::size_t mostInOneStep = 0;
     for (int step = 0; step < 50; ++step) {
         const std::size_t before = this->firstPolls;
@@ -183,7 +183,7 @@
         this->addWorker(absl::StrCat("w", number));
     }
     for (int term = 0; term < 30; ++term) {
-        this->newLeader();
+        this->electLeader();
         this->runFor(absl::Milliseconds(10));
     }
     CHECK(this->firstPolls < std::size_t{30} * 150);
@@ -197,7 +197,7 @@
         this->addWorker(absl::StrCat("w", number));
         this->workers.workers[absl::StrCat("w", number)].isCut = number % 3 != 0;
     }
-    this->newLeader();
+    this->electLeader();
     const auto areReached = [this] {
         return std::all_of(this->workers.workers.begin(), this->workers.workers.end(), [](const auto &entry) {
             return entry.second.isCut || entry.second.fence == fencingToken(1, 0);
@@ -211,7 +211,7 @@
     for (const char *id : {"w1", "w2", "w3"}) {
         this->addWorker(id);
     }
-    this->newLeader();
+    this->electLeader();
     // Workers that run something are asked often.
     this->addJob("a", 12, 60'000);
     this->runFor(absl::Seconds(4));
@@ -228,7 +228,7 @@
     for (const char *id : {"w1", "w2", "w3"}) {
         this->addWorker(id);
     }
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
     const Duration usual = this->pollTimeouts.back();
     this->answerDelay = absl::Milliseconds(200);
@@ -242,14 +242,14 @@
     for (int number = 0; number < 100; ++number) {
         this->addWorker(absl::StrCat("w", number), 8000);
     }
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
     this->addJob("a", 290, 500);
     this->addJob("gang", 60, 500, 1, false, true);
     CHECK(this->runUntil([this] { return this->isCompleted("a") && this->isCompleted("gang"); }, absl::Seconds(5)));
     // Every member once: a gang that is cut in two would break.
     CHECK(this->workers.starts == 350);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(NewTermFixture, "starts_whileNoneIsAnswered_areBounded")
@@ -257,22 +257,22 @@
     for (int number = 0; number < 100; ++number) {
         this->addWorker(absl::StrCat("w", number), 16'000);
     }
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
-    this->weather.lostBefore = 100;
+    this->networkFaults.requestLossPercent = 100;
     this->addJob("a", 1500, 1000);
     this->runFor(absl::Milliseconds(700));
     CHECK(this->mostStarts > 0);
     CHECK(this->mostStarts <= 300);
-    this->weather.lostBefore = 0;
+    this->networkFaults.requestLossPercent = 0;
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(NewTermFixture, "answer_ofAWorkerThatHasJustLeftTheLedger_isIgnored")
 {
     this->addWorker("w1");
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
     REQUIRE_FALSE(this->polls.empty());
     work::RemoveWorkerT command;
@@ -288,7 +288,7 @@
     for (std::size_t number = 0; number < workerCount; ++number) {
         this->addWorker(absl::StrCat("w", number));
     }
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
     this->addJob("a", workerCount, 60'000);
     REQUIRE(this->runUntil([&] { return this->workers.starts == workerCount; }, absl::Seconds(2)));
@@ -303,13 +303,13 @@
         }
     }
     CHECK(this->runUntil([&] { return this->workers.starts >= workerCount + lost; }, absl::Seconds(12)));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(DispatcherFixture, "fillingRun_pacedDownByAnEarlierLeader_isLetGoByTheNext")
 {
     this->addWorker("w1");
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
     this->submit("f", 1, 60'000, [](work::JobSpecT &, work::StepSpecT &step) { step.isFilling = true; });
     REQUIRE(this->runUntil([this] { return this->workers.starts == 1; }, absl::Seconds(2)));
@@ -320,7 +320,7 @@
             paceAtWorker = pace->percent;
         }
     };
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(5));
     CHECK(paceAtWorker == 100);
 }
--- a/paddlepier/execution/orders.h
+++ b/paddlepier/execution/orders.h
@@ -10,7 +10,7 @@
 
 #include "paddlepier/base/clock.h"
 #include "paddlepier/wire/workload_generated.h"
-#include "paddlepier/workload/life.h"
+#include "paddlepier/workload/incarnation.h"
 #include "paddlepier/workload/taskkey.h"
 
 #include <cstdint>
@@ -22,8 +22,8 @@
 {
 
 /** Part of a fencing token that counts the lives under one id in one term; a worker that starts again each second for half a day counts less. */
-constexpr unsigned int fencedLifeBits = 16;
-constexpr std::uint64_t mostFencedLives = (std::uint64_t{1} << fencedLifeBits) - 1;
+constexpr unsigned int incarnationBits = 16;
+constexpr std::uint64_t maxFencedIncarnations = (std::uint64_t{1} << incarnationBits) - 1;
 
 /**
  * Fencing token of orders to the life that follows @p earlierLives others under its id in @p term: what was sent to these is refused by
@@ -31,7 +31,7 @@
  */
 constexpr std::uint64_t fencingToken(std::uint64_t term, std::uint64_t earlierLives)
 {
-    return (term << fencedLifeBits) + (earlierLives < mostFencedLives ? earlierLives : mostFencedLives);
+    return (term << incarnationBits) + (earlierLives < maxFencedIncarnations ? earlierLives : maxFencedIncarnations);
 }
 
 /** Starts a run; sending it again changes nothing. */
@@ -71,7 +71,7 @@
 struct WorkerCall {
     std::uint64_t id = 0;
     /** The life that is meant; another one under the same id can't tell that it isn't. */
-    workload::Life worker;
+    workload::Incarnation worker;
     std::string address;
     /** Fencing token: rises with the leader's term and, within it, with each life of a worker. */
     std::uint64_t fence = 0;
@@ -137,17 +137,17 @@
 bool reportsNoChange(const WorkerCall &call, const PollOrder &order, const WorkerAnswer &answer);
 
 /** A question to the service that knows which workers may run a step. */
-struct AdviceQuestion {
+struct AdviceRequest {
     std::uint64_t id = 0;
     workload::StepKey step;
-    std::vector<workload::Life> workers;
+    std::vector<workload::Incarnation> workers;
     /** How long the answer takes by the queue's policy. */
-    Duration cost;
+    Duration decisionTime;
 };
 
 struct AdviceAnswer {
     bool isAnswered = false;
-    std::vector<work::AdviceTicketT> good;
+    std::vector<work::AdviceTicketT> tickets;
 };
 
 } // namespace paddlepier::execution
--- a/paddlepier/execution/overload_test.cpp
+++ b/paddlepier/execution/overload_test.cpp
@@ -72,7 +72,7 @@
         step->estimatedMillis = runMillis;
         step->demand = std::make_unique<work::Demand>(1000, 100, 0);
         this->apply(std::move(command));
-        this->dispatcher->noteChange();
+        this->dispatcher->markChanged();
     }
 
     void newLeader()
@@ -143,7 +143,7 @@
             work::EntryT entry;
             entry.atMillis = absl::ToUnixMillis(this->now);
             entry.command = std::move(commit.proposal.command);
-            this->dispatcher->takeOutcome(this->now, commit.proposal.id, this->state.apply(entry));
+            this->dispatcher->handleOutcome(this->now, commit.proposal.id, this->state.apply(entry));
         }
     }
 
@@ -172,7 +172,7 @@
         this->orders.pop_front();
         const auto *poll = std::get_if<PollOrder>(&call.order);
         const Duration wait = poll == nullptr ? absl::ZeroDuration() : poll->wait;
-        this->answers.push_back({this->now + wait + absl::Milliseconds(10), this->now + call.timeout, call.id, this->workers.carryOut(this->now, call)});
+        this->answers.push_back({this->now + wait + absl::Milliseconds(10), this->now + call.timeout, call.id, this->workers.execute(this->now, call)});
         return true;
     }
 
@@ -184,7 +184,7 @@
         }
         const Answer answer = *due;
         this->answers.erase(due);
-        this->dispatcher->takeAnswer(this->now, answer.call, this->now > answer.deadline ? WorkerAnswer() : answer.answer);
+        this->dispatcher->handleAnswer(this->now, answer.call, this->now > answer.deadline ? WorkerAnswer() : answer.answer);
         return true;
     }
 
@@ -210,7 +210,7 @@
     this->runFor(absl::Seconds(30));
     CHECK(this->workers.starts == workerCount);
     CHECK(this->stops == 0);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(OverloadFixture, "newLeader_withRunsThatWerePlacedAndNeverStarted_settlesThemWithoutAStopForEach")
@@ -229,7 +229,7 @@
     this->runFor(absl::Seconds(5));
     CHECK(this->stops == 0);
     CHECK(this->workers.starts == workerCount);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 } // namespace paddlepier::execution
--- a/paddlepier/execution/pacecontrol.cpp
+++ b/paddlepier/execution/pacecontrol.cpp
@@ -34,36 +34,36 @@
         }
     }
     if (now < this->nextChange) {
-        return this->current;
+        return this->currentPace;
     }
-    const std::uint32_t before = this->current;
+    const std::uint32_t before = this->currentPace;
     if (worst > farOverTarget) {
-        this->current = this->current / 4;
+        this->currentPace = this->currentPace / 4;
     } else if (worst > nearTarget) {
-        this->current = this->current * 6 / 10;
+        this->currentPace = this->currentPace * 6 / 10;
     } else if (worst < wellBelowTarget) {
-        this->current = std::min(fullPace, std::max(leastPace, this->current) + raise);
+        this->currentPace = std::min(fullPace, std::max(leastPace, this->currentPace) + raise);
     }
-    this->current = this->current < leastPace ? 0 : this->current;
-    if (this->current != before) {
+    this->currentPace = this->currentPace < leastPace ? 0 : this->currentPace;
+    if (this->currentPace != before) {
         this->nextChange = now + changePause;
     }
-    if (this->current > 0) {
-        this->stopped = absl::InfiniteFuture();
+    if (this->currentPace > 0) {
+        this->stoppedAt = absl::InfiniteFuture();
     } else if (before > 0) {
-        this->stopped = now;
+        this->stoppedAt = now;
     }
-    return this->current;
+    return this->currentPace;
 }
 
 std::uint32_t PaceControl::pace() const
 {
-    return this->current;
+    return this->currentPace;
 }
 
 Timestamp PaceControl::stoppedSince() const
 {
-    return this->stopped;
+    return this->stoppedAt;
 }
 
 } // namespace paddlepier::execution
--- a/paddlepier/execution/pacecontrol.h
+++ b/paddlepier/execution/pacecontrol.h
@@ -34,9 +34,9 @@
     Timestamp stoppedSince() const;
 
 private:
-    std::uint32_t current = 100;
+    std::uint32_t currentPace = 100;
     Timestamp nextChange = absl::InfinitePast();
-    Timestamp stopped = absl::InfiniteFuture();
+    Timestamp stoppedAt = absl::InfiniteFuture();
 };
 
 } // namespace paddlepier::execution
--- a/paddlepier/execution/placing.cpp
+++ b/paddlepier/execution/placement.cpp
@@ -39,21 +39,21 @@
 
 } // namespace
 
-void Dispatcher::planWork(Timestamp now, std::int64_t wallMillis, const QuestionBudgetSource &questionBudget)
+void Dispatcher::planWork(Timestamp now, std::int64_t wallMillis, const AdviceBudgetSource &questionBudget)
 {
-    if (this->placing || now < this->nextPlan || (!this->changed && now < this->nextPlan + planInterval)) {
+    if (this->isPlacementInFlight || now < this->nextPlan || (!this->hasChanged && now < this->nextPlan + planInterval)) {
         return;
     }
-    this->placingPauses = this->startsUnderWay >= (this->placingPauses ? fewStartsUnderWay : mostStartsUnderWay);
-    if (this->placingPauses) {
+    this->isPlacingPaused = this->startsInFlight >= (this->isPlacingPaused ? fewStartsUnderWay : mostStartsUnderWay);
+    if (this->isPlacingPaused) {
         return;
     }
-    this->changed = false;
+    this->hasChanged = false;
     this->effects.hasPlanned = true;
     this->nextPlan = now + planPause;
-    planning::Plan plan = this->planner.plan(now, wallMillis, {questionBudget(), mostStartsUnderWay - this->startsUnderWay});
-    std::move(plan.questions.begin(), plan.questions.end(), std::back_inserter(this->effects.questions));
-    for (const auto &[key, servedStep] : plan.preempted) {
+    planning::Plan plan = this->planner.plan(now, wallMillis, {questionBudget(), mostStartsUnderWay - this->startsInFlight});
+    std::move(plan.adviceRequests.begin(), plan.adviceRequests.end(), std::back_inserter(this->effects.adviceRequests));
+    for (const auto &[key, servedStep] : plan.preemptions) {
         const auto track = this->tracks.find(key);
         if (track != this->tracks.end()) {
             log::info("dispatch", "run.makes-way", {{"task", key.text()}, {"worker", track->second.worker.text()}, {"for", servedStep.text()}});
@@ -70,23 +70,23 @@
     }
     work::CommandUnion made;
     made.Set(std::move(command));
-    this->placing = true;
+    this->isPlacementInFlight = true;
     this->propose(ProposalKind::Place, {}, std::move(made));
 }
 
-void Dispatcher::notePlanTime(Timestamp now, Duration time)
+void Dispatcher::recordPlanTime(Timestamp now, Duration time)
 {
     this->nextPlan = std::max(this->nextPlan, now + pausePerPlanTime * time);
 }
 
-void Dispatcher::reportWaits(Timestamp now, std::int64_t wallMillis)
+void Dispatcher::logLongWaits(Timestamp now, std::int64_t wallMillis)
 {
     if (now < this->nextWaitReport) {
         return;
     }
     this->nextWaitReport = now + waitReportInterval;
-    this->reportQuotas();
-    const std::vector<planning::LongWait> waits = this->planner.lookForLongWaits(now, wallMillis);
+    this->logQuotas();
+    const std::vector<planning::LongWait> waits = this->planner.findLongWaits(now, wallMillis);
     this->effects.longWaits += waits.size();
     for (const planning::LongWait &wait : waits) {
         log::info(
@@ -96,7 +96,7 @@
     }
 }
 
-void Dispatcher::reportCell(Timestamp now)
+void Dispatcher::logCellLoad(Timestamp now)
 {
     if (now < this->nextCellReport) {
         return;
@@ -112,12 +112,12 @@
                {"runs", this->tracks.size()},
                {"waitingTasks", load.waitingTasks},
                {"waitingDemand", load.waitingDemand},
-               {"questions", this->advice.pendingQuestions()}});
+               {"questions", this->adviceCache.pendingQuestions()}});
 }
 
-void Dispatcher::reportQuotas()
+void Dispatcher::logQuotas()
 {
-    std::set<std::string> atQuota = this->planner.takeTeamsAtQuota();
+    std::set<std::string> atQuota = this->planner.drainTeamsAtQuota();
     const auto report = [this](const std::set<std::string> &teams, const std::set<std::string> &others, const char *event) {
         std::size_t found = 0;
         for (const std::string &team : teams) {
@@ -125,7 +125,7 @@
                 continue;
             }
             ++found;
-            const work::Quota used = this->state.teams().used(team);
+            const work::Quota used = this->state.teams().usageOf(team);
             log::info("dispatch", event, {{"team", team}, {"milliProcessors", used.milliProcessors()}, {"memoryMegabytes", used.memoryMegabytes()}});
         }
         return found;
@@ -135,7 +135,7 @@
     this->teamsAtQuota = std::move(atQuota);
 }
 
-std::string Dispatcher::waitOf(const std::string &job) const
+std::string Dispatcher::longWaitReason(const std::string &job) const
 {
     const planning::LongWait *wait = this->planner.longWaitOf(job);
     return wait == nullptr ? "" : absl::StrCat("step ", wait->step.text(), " waits: ", planning::nameOf(wait->reason));
@@ -143,7 +143,7 @@
 
 void Dispatcher::limitPlacements(std::vector<work::PlacementT> &placements) const
 {
-    std::size_t kept = mostStartsUnderWay - std::min(this->startsUnderWay, mostStartsUnderWay);
+    std::size_t kept = mostStartsUnderWay - std::min(this->startsInFlight, mostStartsUnderWay);
     if (kept >= placements.size()) {
         return;
     }
@@ -156,25 +156,25 @@
     placements.resize(kept);
 }
 
-void Dispatcher::takePlacements(Timestamp now, const std::vector<work::PlacementT> &placed)
+void Dispatcher::trackPlacements(Timestamp now, const std::vector<work::PlacementT> &placed)
 {
-    this->placing = false;
+    this->isPlacementInFlight = false;
     this->logPlacements(placed);
     for (const work::PlacementT &placement : placed) {
         const workload::TaskKey key(*placement.task);
         RunTrack track;
         track.run = placement.run;
-        track.worker = workload::lifeOf(placement);
+        track.worker = workload::incarnationOf(placement);
         track.placedAt = now;
         const workload::Job &job = *this->state.findJob(key.job);
         track.checkpoint = job.task(key).checkpoint;
         if (job.queue().advice) {
-            const planning::Ticket *ticket = this->advice.validTicket(absl::InfinitePast(), key.stepKey(), track.worker);
+            const planning::Ticket *ticket = this->adviceCache.validTicket(absl::InfinitePast(), key.stepKey(), track.worker);
             track.ticket = ticket == nullptr ? "" : ticket->text;
             track.ticketValidUntil = ticket == nullptr ? absl::InfinitePast() : ticket->validUntil;
         }
         this->tracks[key] = std::move(track);
-        this->dueRuns.set(key, now);
+        this->runTimers.schedule(key, now);
     }
 }
 
@@ -183,7 +183,8 @@
     // One line for each step; what became of each run stands in the line of its end.
     std::map<workload::StepKey, std::string> workersByStep;
     for (const work::PlacementT &placement : placed) {
-        absl::StrAppend(&workersByStep[workload::TaskKey(*placement.task).stepKey()], " ", placement.task->index, "@", workload::lifeOf(placement).text());
+        absl::StrAppend(
+            &workersByStep[workload::TaskKey(*placement.task).stepKey()], " ", placement.task->index, "@", workload::incarnationOf(placement).text());
     }
     for (const auto &[step, workers] : workersByStep) {
         const workload::Job &job = *this->state.findJob(step.job);
--- a/paddlepier/execution/polls.cpp
+++ b/paddlepier/execution/polls.cpp
@@ -57,12 +57,12 @@
 
 } // namespace
 
-void Dispatcher::schedulePoll(const workload::Life &worker, const WorkerView &view)
+void Dispatcher::schedulePoll(const workload::Incarnation &worker, const WorkerView &view)
 {
-    (view.hasListed ? this->duePolls : this->dueFirstPolls).set(worker, view.nextPoll);
+    (view.hasListed ? this->pollTimers : this->firstPollTimers).schedule(worker, view.nextPoll);
 }
 
-bool Dispatcher::countsYet(const workload::Worker &worker) const
+bool Dispatcher::mayBePolled(const workload::Worker &worker) const
 {
     const bool holdsNothing = worker.runs.empty() && worker.superseded.empty();
     return !holdsNothing || this->state.findService(worker.registration.service) != nullptr;
@@ -70,15 +70,15 @@
 
 void Dispatcher::pollWorkers(Timestamp now)
 {
-    while (const std::optional<workload::Life> worker = this->duePolls.take(now)) {
+    while (const std::optional<workload::Incarnation> worker = this->pollTimers.popExpired(now)) {
         this->pollWorker(now, *worker);
     }
     // Calls are numbered in the order in which they are sent.
-    while (!this->freshFirstPolls.empty() && this->freshFirstPolls.begin()->second + firstPollPatience <= now) {
-        this->freshFirstPolls.erase(this->freshFirstPolls.begin());
+    while (!this->recentFirstPolls.empty() && this->recentFirstPolls.begin()->second + firstPollPatience <= now) {
+        this->recentFirstPolls.erase(this->recentFirstPolls.begin());
     }
-    while (this->freshFirstPolls.size() < mostFirstPolls) {
-        const std::optional<workload::Life> worker = this->dueFirstPolls.take(now);
+    while (this->recentFirstPolls.size() < mostFirstPolls) {
+        const std::optional<workload::Incarnation> worker = this->firstPollTimers.popExpired(now);
         if (!worker) {
             return;
         }
@@ -86,7 +86,7 @@
     }
 }
 
-void Dispatcher::pollWorker(Timestamp now, const workload::Life &worker)
+void Dispatcher::pollWorker(Timestamp now, const workload::Incarnation &worker)
 {
     const auto found = this->views.find(worker);
     const workload::Worker *record = this->state.findWorker(worker);
@@ -100,7 +100,7 @@
     if (view.pollState != PollState::Idle) {
         return;
     }
-    if (!this->countsYet(*record)) {
+    if (!this->mayBePolled(*record)) {
         view.nextPoll = now + uncountedPause;
         this->schedulePoll(worker, view);
         return;
@@ -108,47 +108,47 @@
     const bool isReachable = view.isReachable();
     PollOrder order;
     // Another life under the id would forget ends of its own by these numbers, and nobody would hear of them.
-    order.lastSequence = view.isSurelySame(now) ? record->lastSequence : 0;
+    order.lastSequence = view.isIncarnationConfirmed(now) ? record->lastSequence : 0;
     view.isWatched = isReachable && isIdle(*record, view);
-    order.wait = this->waitOfPoll(view);
+    order.wait = this->pollWaitFor(view);
     view.pollCall = this->nextCall;
     order.watch = view.isWatched ? idleWatch : absl::ZeroDuration();
     if (!view.hasListed) {
-        this->freshFirstPolls.emplace(this->nextCall, now);
+        this->recentFirstPolls.emplace(this->nextCall, now);
     }
-    const Duration timeout = this->timeoutOfPoll(view, order.wait);
+    const Duration timeout = this->pollTimeoutFor(view, order.wait);
     view.pollState = PollState::InFlight;
     view.pollSentAt = now;
     // A silent worker may receive what it doesn't answer: offering it a lease again and again would keep its runs for ever. Where most
     // are silent it may be this process that doesn't read their answers in time, and without leases sound workers would end all their runs;
     // one that has answered nothing for a whole lease is silent itself.
-    const bool mayBeOurs = this->isSlow && view.isKnown() && now - view.lastAnswerAt() < this->options.longestLease;
+    const bool mayBeOurs = this->isProcessSlow && view.hasClock() && now - view.lastAnswerAt() < this->options.maxLease;
     // A watch goes on with the lease of its beginning, which must not shorten one that a start gives meanwhile.
     this->send(now, worker, order, timeout, !view.isWatched && (isReachable || mayBeOurs));
 }
 
-void Dispatcher::limitWatch(Timestamp now, const workload::Life &worker)
+void Dispatcher::limitWatch(Timestamp now, const workload::Incarnation &worker)
 {
     const WorkerView &view = this->views.at(worker);
     if (view.pollState == PollState::InFlight && view.isWatched) {
-        this->duePolls.set(worker, now + idlePollWait + pollSlack);
+        this->pollTimers.schedule(worker, now + idlePollWait + pollSlack);
     }
 }
 
 void Dispatcher::abandonWatch(WorkerView &view)
 {
     this->calls.erase(view.pollCall);
-    view.noteCallEnd(view.pollCall);
+    view.recordCallEnd(view.pollCall);
     view.pollState = PollState::Idle;
 }
 
 bool Dispatcher::isIdle(const workload::Worker &record, const WorkerView &view)
 {
-    const bool holdsNothing = record.runs.empty() && record.superseded.empty() && record.lapsed.empty();
+    const bool holdsNothing = record.runs.empty() && record.superseded.empty() && record.expiredLeases.empty();
     return holdsNothing && view.acknowledgedSequence >= record.lastSequence;
 }
 
-Duration Dispatcher::waitOfPoll(const WorkerView &view) const
+Duration Dispatcher::pollWaitFor(const WorkerView &view) const
 {
     if (!view.isReachable()) {
         return absl::ZeroDuration();
@@ -156,40 +156,40 @@
     if (view.isWatched) {
         return idlePollWait;
     }
-    return view.isContended ? contendedPollWait : this->isSlow ? slowPollWait : pollWait;
+    return view.isContended ? contendedPollWait : this->isProcessSlow ? slowPollWait : pollWait;
 }
 
-Duration Dispatcher::timeoutOfPoll(const WorkerView &view, Duration wait) const
+Duration Dispatcher::pollTimeoutFor(const WorkerView &view, Duration wait) const
 {
     const bool isFirst = view.pollSentAt == absl::InfinitePast();
     const Duration timeout = view.isReachable() ? std::max(wait, pollWait) + pollSlack : isFirst ? firstPollTimeout : silentPollTimeout;
-    return timeout + (this->isSlow ? slowSurplus : this->patience() - answerPatience);
+    return timeout + (this->isProcessSlow ? slowSurplus : this->answerTimeout() - minAnswerTimeout);
 }
 
-void Dispatcher::takePoll(Timestamp now, const PendingCall &call, const WorkerAnswer &answer)
+void Dispatcher::handlePollAnswer(Timestamp now, const PendingCall &call, const WorkerAnswer &answer)
 {
     WorkerView &view = this->views.at(call.worker);
     view.pollState = PollState::Idle;
     if (answer.kind != AnswerKind::Accepted) {
-        view.noteSilence(now);
+        view.recordFailedCall(now);
         this->schedulePoll(call.worker, view);
         log::info("dispatch", "poll.failed", {{"worker", call.worker.text()}, {"answer", nameOf(answer.kind)}});
         return;
     }
     view.nextPoll = now;
-    view.noteList(now);
+    view.recordListing(now);
     view.acknowledgedSequence = std::max(view.acknowledgedSequence, std::get<PollOrder>(call.order).lastSequence);
     if (!view.hasListed) {
         view.hasListed = true;
         for (const workload::TaskKey &key : this->state.findWorker(call.worker)->runs) {
-            this->dueRuns.set(key, now);
+            this->runTimers.schedule(key, now);
         }
     }
-    this->takeEnded(now, call.worker, view, answer);
-    this->takeRunning(now, call.worker, answer);
-    this->watchRuns(now, call.worker, view);
+    this->recordEnds(now, call.worker, view, answer);
+    this->updateRunning(now, call.worker, answer);
+    this->monitorRuns(now, call.worker, view);
     if (answer.ended.size() < mostListedEnds) {
-        this->settleVanished(now, call.worker, call.sentAt);
+        this->settleVanishedRuns(now, call.worker, call.sentAt);
         this->settleSuperseded(now, call.worker, call.sentAt, answer);
     }
     if (view.pollState == PollState::Idle) {
@@ -197,7 +197,7 @@
     }
 }
 
-void Dispatcher::takeEnded(Timestamp now, const workload::Life &worker, WorkerView &view, const WorkerAnswer &answer)
+void Dispatcher::recordEnds(Timestamp now, const workload::Incarnation &worker, WorkerView &view, const WorkerAnswer &answer)
 {
     work::RecordEndsT record;
     record.worker = worker.id;
@@ -209,7 +209,7 @@
         if (listed.sequence <= recorded) {
             continue;
         }
-        this->judgeEnd(now, view, listed);
+        this->evaluateEnd(now, view, listed);
         auto &end = record.ends.emplace_back(std::make_unique<work::RunEndT>());
         end->task = listed.task.record();
         end->run = listed.run;
@@ -217,27 +217,27 @@
         end->checkpoint = listed.checkpoint;
         end->sequence = listed.sequence;
     }
-    if (record.ends.empty() && known.lapsed.empty()) {
+    if (record.ends.empty() && known.expiredLeases.empty()) {
         return;
     }
-    this->dropTracks(record);
+    this->eraseTracks(record);
     view.pollState = PollState::RecordingEnds;
     work::CommandUnion command;
     command.Set(std::move(record));
     this->propose(ProposalKind::RecordEnds, worker, std::move(command));
 }
 
-void Dispatcher::dropTracks(const work::RecordEndsT &command)
+void Dispatcher::eraseTracks(const work::RecordEndsT &command)
 {
     for (const auto &end : command.ends) {
         const auto track = this->tracks.find(workload::TaskKey(*end->task));
-        if (track != this->tracks.end() && track->second.run == end->run && track->second.worker == workload::Life{command.worker, command.born}) {
+        if (track != this->tracks.end() && track->second.run == end->run && track->second.worker == workload::Incarnation{command.worker, command.born}) {
             this->tracks.erase(track);
         }
     }
 }
 
-void Dispatcher::settleVanished(Timestamp now, const workload::Life &worker, Timestamp pollSentAt)
+void Dispatcher::settleVanishedRuns(Timestamp now, const workload::Incarnation &worker, Timestamp pollSentAt)
 {
     std::vector<std::pair<workload::TaskKey, RunTrack>> vanished;
     for (const workload::TaskKey &key : this->state.findWorker(worker)->runs) {
@@ -254,7 +254,7 @@
             this->stopRun(now, key, track->second, StopReason::StartUnsettled);
         }
     }
-    this->endRuns(worker, vanished, work::RunEndKind::Void);
+    this->proposeEnds(worker, vanished, work::RunEndKind::Void);
 }
 
 } // namespace paddlepier::execution
--- a/paddlepier/execution/watch.cpp
+++ b/paddlepier/execution/progress.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-void Dispatcher::takeRunning(Timestamp now, const workload::Life &worker, const WorkerAnswer &answer)
+void Dispatcher::updateRunning(Timestamp now, const workload::Incarnation &worker, const WorkerAnswer &answer)
 {
     for (const ListedRun &listed : answer.running) {
         const auto found = this->tracks.find(listed.task);
@@ -58,7 +58,7 @@
             found->second.listedAt = now;
         }
         RunTrack *track = isHere && found->second.run == listed.run ? &found->second : nullptr;
-        if (track == nullptr && this->takeSupersededRun(now, worker, listed)) {
+        if (track == nullptr && this->handleSupersededRun(now, worker, listed)) {
             continue;
         }
         if (track == nullptr) {
@@ -88,7 +88,7 @@
     }
 }
 
-void Dispatcher::watchRuns(Timestamp now, const workload::Life &worker, WorkerView &view)
+void Dispatcher::monitorRuns(Timestamp now, const workload::Incarnation &worker, WorkerView &view)
 {
     std::vector<ServingLoad> serving;
     std::vector<workload::TaskKey> filling;
@@ -106,13 +106,13 @@
         if (step.isFilling) {
             filling.push_back(key);
         }
-        this->watchProgress(now, key, track->second, view);
+        this->monitorProgress(now, key, track->second, view);
     }
     view.isContended = !serving.empty() && !filling.empty();
     this->paceFilling(now, worker, view, serving, filling);
 }
 
-void Dispatcher::watchProgress(Timestamp now, const workload::TaskKey &key, RunTrack &track, WorkerView &view)
+void Dispatcher::monitorProgress(Timestamp now, const workload::TaskKey &key, RunTrack &track, WorkerView &view)
 {
     const work::StepSpecT &step = this->state.findJob(key.job)->stepSpec(key.step);
     const bool isAtWork = step.isLasting && track.percent >= atWorkPercent;
@@ -121,8 +121,8 @@
         return;
     }
     if (now - track.progressAt > patienceWith(step)) {
-        if (this->setbacks.noteBadRun(key)) {
-            view.noteFailedRun(now);
+        if (this->taskBackoff.recordFailedRun(key)) {
+            view.recordFailedRun(now);
         }
         this->stopRun(now, key, track, StopReason::StandsStill);
         return;
@@ -134,7 +134,7 @@
     }
     // Estimates of one queue are wrong in a like way; what is left is the worker's doing.
     const double ratio = absl::ToDoubleMilliseconds(seenFor) * 100 / progress / step.estimatedMillis;
-    double &usual = this->usualRatios.try_emplace(this->state.findJob(key.job)->queue().name, 1.0).first->second;
+    double &usual = this->typicalRatios.try_emplace(this->state.findJob(key.job)->queue().name, 1.0).first->second;
     usual += usualWeight * (std::clamp(ratio, least, most) - usual);
     view.slowness += speedWeight * (std::clamp(ratio / usual, least, most) - view.slowness);
     // One observation a run.
@@ -142,8 +142,11 @@
     track.firstPercent = track.percent;
 }
 
-void Dispatcher::paceFilling(
-    Timestamp now, const workload::Life &worker, WorkerView &view, const std::vector<ServingLoad> &serving, const std::vector<workload::TaskKey> &filling)
+void Dispatcher::paceFilling(Timestamp now,
+                             const workload::Incarnation &worker,
+                             WorkerView &view,
+                             const std::vector<ServingLoad> &serving,
+                             const std::vector<workload::TaskKey> &filling)
 {
     const std::uint32_t pace = view.paceControl.update(now, serving);
     for (const workload::TaskKey &key : filling) {
@@ -158,7 +161,7 @@
     }
 }
 
-void Dispatcher::takePace(const PendingCall &call, const PaceOrder &order, const WorkerAnswer &answer)
+void Dispatcher::handlePaceAnswer(const PendingCall &call, const PaceOrder &order, const WorkerAnswer &answer)
 {
     RunTrack *track = this->findTrack(order.task, order.run, call.worker);
     if (track == nullptr) {
@@ -168,7 +171,7 @@
     track->pace = answer.kind == AnswerKind::Accepted ? std::optional(order.percent) : std::nullopt;
 }
 
-void Dispatcher::judgeEnd(Timestamp now, WorkerView &view, const ListedEnd &end)
+void Dispatcher::evaluateEnd(Timestamp now, WorkerView &view, const ListedEnd &end)
 {
     const auto track = this->tracks.find(end.task);
     const bool isKnown = track != this->tracks.end() && track->second.run == end.run;
@@ -176,7 +179,7 @@
     const Duration startTime = hasBegun ? track->second.runningSince - track->second.placedAt : absl::Milliseconds(-1);
     const Duration wholeTime = isKnown ? now - track->second.placedAt : absl::Milliseconds(-1);
     if (end.kind == work::RunEndKind::Done && isKnown) {
-        this->reports.noteDone(end.task, {track->second.worker, end.run, startTime, wholeTime});
+        this->reports.recordDone(end.task, {track->second.worker, end.run, startTime, wholeTime});
     } else {
         log::info("dispatch",
                   "run.ended",
@@ -187,19 +190,19 @@
                    {"millis", absl::ToInt64Milliseconds(wholeTime)}});
     }
     if (end.kind == work::RunEndKind::Failed) {
-        if (this->setbacks.noteBadRun(end.task)) {
-            view.noteFailedRun(now);
+        if (this->taskBackoff.recordFailedRun(end.task)) {
+            view.recordFailedRun(now);
         }
     } else if (end.kind == work::RunEndKind::Done) {
-        view.noteDoneRun();
+        view.recordDoneRun();
     }
 }
 
-void Dispatcher::reportSteps(Timestamp now)
+void Dispatcher::logEndedSteps(Timestamp now)
 {
-    if (now >= this->nextReport) {
-        this->nextReport = now + reportInterval;
-        this->reports.writeEnded(this->state);
+    if (now >= this->nextStepReport) {
+        this->nextStepReport = now + reportInterval;
+        this->reports.logEnded(this->state);
     }
 }
 
--- a/paddlepier/execution/quota_test.cpp
+++ b/paddlepier/execution/quota_test.cpp
@@ -26,7 +26,7 @@
         }
         this->apply(std::move(configuration));
         if (this->dispatcher) {
-            this->dispatcher->noteChange();
+            this->dispatcher->markChanged();
         }
     }
 
@@ -43,7 +43,7 @@
         step->isGang = isGang;
         step->demand = std::make_unique<work::Demand>(1000, 100, 0);
         this->apply(std::move(command));
-        this->dispatcher->noteChange();
+        this->dispatcher->markChanged();
     }
 
     /** Runs of all workers of jobs whose ids begin with @p prefix. */
@@ -61,7 +61,7 @@
     {
         this->addWorker("w1");
         this->addWorker("w2");
-        this->newLeader();
+        this->electLeader();
         this->runFor(absl::Seconds(1));
     }
 };
@@ -87,7 +87,7 @@
     this->addJobOf("red", "red-gang", 4, 500, true);
     this->runFor(absl::Seconds(14));
     CHECK(this->runsOf("red") == 0);
-    CHECK(this->dispatcher->waitOf("red-gang") == "step red-gang.0.0 waits: team-at-quota");
+    CHECK(this->dispatcher->longWaitReason("red-gang") == "step red-gang.0.0 waits: team-at-quota");
     this->setQuota(4000);
     CHECK(this->runUntil([this] { return this->isCompleted("red-gang"); }, absl::Seconds(3)));
 }
@@ -96,14 +96,14 @@
 {
     this->setQuota(8000);
     this->begin();
-    this->weather.lostBefore = 100;
+    this->networkFaults.requestLossPercent = 100;
     this->addJobOf("red", "red-1", 6, 60'000);
-    REQUIRE(this->runUntil([this] { return this->state.teams().used("red").milliProcessors() == 6000; }, absl::Seconds(1)));
+    REQUIRE(this->runUntil([this] { return this->state.teams().usageOf("red").milliProcessors() == 6000; }, absl::Seconds(1)));
     this->setQuota(2000);
-    this->weather.lostBefore = 0;
+    this->networkFaults.requestLossPercent = 0;
     this->runFor(absl::Seconds(20));
     CHECK(this->runsOf("red") == 2);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(QuotaFixture, "quotaLowered_belowWhatIsAtWork_stopsNothingAndStartsNothing")
@@ -126,15 +126,15 @@
     for (int number = 0; number < 4; ++number) {
         this->addWorker(absl::StrCat("w", number));
     }
-    this->newLeader();
-    this->weather.lostBefore = 10;
-    this->weather.lostAfter = 10;
+    this->electLeader();
+    this->networkFaults.requestLossPercent = 10;
+    this->networkFaults.answerLossPercent = 10;
     std::size_t most = 4;
     this->onStep = [this, &most] { CHECK(this->runsOf("red") <= most); };
     for (int round = 0; round < 30; ++round) {
         this->addJobOf("red", absl::StrCat("red-", round), 1 + this->random() % 5, 200 + this->random() % 1500, round % 4 == 0);
         if (round % 10 == 9) {
-            this->newLeader();
+            this->electLeader();
         }
         // A quota that rises holds from then on; one that falls is obeyed when enough has ended.
         const std::size_t quota = 4 + this->random() % 4;
@@ -142,11 +142,11 @@
         this->setQuota(1000 * quota);
         this->runFor(absl::Milliseconds(400));
     }
-    this->weather = {};
+    this->networkFaults = {};
     for (int round = 0; round < 30; ++round) {
         CHECK(this->runUntil([&] { return this->isCompleted(absl::StrCat("red-", round)); }));
     }
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 } // namespace paddlepier::execution
--- a/paddlepier/execution/shrinkingroom_test.cpp
+++ b/paddlepier/execution/reducedcapacity_test.cpp
@@ -22,7 +22,7 @@
         registration.sequence = ++this->sequence;
         this->apply(std::move(registration));
         this->workers.workers[worker].capacity = processors;
-        this->dispatcher->noteChange();
+        this->dispatcher->markChanged();
     }
 
     std::size_t runsOn(const std::string &worker)
@@ -38,7 +38,7 @@
 TEST_CASE_METHOD(ShrinkingRoomFixture, "roomThatShrinksBelowItsRuns_getsNothingUntilTheyFit")
 {
     this->addWorker("w1");
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
     this->addJob("long", 4, 4000);
     REQUIRE(this->runUntil([this] { return this->runsOn("w1") == 4; }, absl::Seconds(2)));
@@ -47,23 +47,23 @@
     this->runFor(absl::Seconds(2));
     CHECK(this->runsOn("w1") == 4);
     CHECK(this->runUntil([this] { return this->isCompleted("long") && this->isCompleted("next"); }, absl::Seconds(10)));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(ShrinkingRoomFixture, "startsUnderWay_whenTheRoomShrinks_goElsewhere")
 {
     this->addWorker("w1");
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
-    this->weather.lostBefore = 100;
+    this->networkFaults.requestLossPercent = 100;
     this->addJob("a", 4, 800);
     REQUIRE(this->runUntil([this] { return this->state.findWorker({"w1"})->runs.size() == 4; }, absl::Seconds(1)));
     this->setRoom("w1", 1500);
-    this->weather.lostBefore = 0;
+    this->networkFaults.requestLossPercent = 0;
     this->addWorker("w2");
-    this->dispatcher->noteChange();
+    this->dispatcher->markChanged();
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }, absl::Seconds(20)));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(ShrinkingRoomFixture, "gangWhoseWorkersShrink_beforeAllHaveBegun_beginsElsewhereAsAWhole")
@@ -71,23 +71,23 @@
     for (const char *id : {"w1", "w2"}) {
         this->addWorker(id, 2000);
     }
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
-    this->weather.lostBefore = 60;
+    this->networkFaults.requestLossPercent = 60;
     this->addJob("a", 4, 800, 1, false, true);
     REQUIRE(this->runUntil([this] { return this->state.findWorker({"w1"})->runs.size() == 2; }, absl::Seconds(1)));
     this->setRoom("w1", 1000);
-    this->weather.lostBefore = 0;
+    this->networkFaults.requestLossPercent = 0;
     this->addWorker("w3", 4000);
-    this->dispatcher->noteChange();
+    this->dispatcher->markChanged();
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }, absl::Seconds(30)));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(ShrinkingRoomFixture, "roomThatGrowsAgain_isUsed")
 {
     this->addWorker("w1");
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
     this->setRoom("w1", 0);
     this->addJob("a", 4, 500);
@@ -100,7 +100,7 @@
 TEST_CASE_METHOD(ShrinkingRoomFixture, "announcementOfTheFormerRoom_heldUpUntilAfterTheNext_changesNothing")
 {
     this->addWorker("w1");
-    this->newLeader();
+    this->electLeader();
     const work::RegisterWorkerT former = this->state.findWorker({"w1"})->registration;
     this->setRoom("w1", 1000);
     this->apply(work::RegisterWorkerT(former));
@@ -112,25 +112,25 @@
     for (int number = 0; number < 8; ++number) {
         this->addWorker(absl::StrCat("w", number));
     }
-    this->newLeader();
-    this->weather.lostBefore = 10;
-    this->weather.lostAfter = 10;
+    this->electLeader();
+    this->networkFaults.requestLossPercent = 10;
+    this->networkFaults.answerLossPercent = 10;
     for (int round = 0; round < 40; ++round) {
         this->addJob(absl::StrCat("job-", round), 1 + this->random() % 8, 200 + this->random() % 1500, 1, round % 3 == 0, round % 7 == 0);
         this->setRoom(absl::StrCat("w", this->random() % 8), 1000 * (this->random() % 5));
         if (round % 10 == 9) {
-            this->newLeader();
+            this->electLeader();
         }
         this->runFor(absl::Milliseconds(400));
     }
-    this->weather = {};
+    this->networkFaults = {};
     for (int number = 0; number < 8; ++number) {
         this->setRoom(absl::StrCat("w", number), 4000);
     }
     for (int round = 0; round < 40; ++round) {
         CHECK(this->runUntil([&] { return this->isCompleted(absl::StrCat("job-", round)); }));
     }
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 } // namespace paddlepier::execution
--- a/paddlepier/execution/restart_test.cpp
+++ b/paddlepier/execution/restart_test.cpp
@@ -23,7 +23,7 @@
     void addWorkerWithHistory(std::uint32_t ends)
     {
         this->addWorker("w0");
-        this->newLeader();
+        this->electLeader();
         this->runFor(absl::Seconds(1));
         this->addJob("before", ends, 50);
         REQUIRE(this->runUntil([this] { return this->isCompleted("before"); }));
@@ -48,7 +48,7 @@
     this->restart("w0");
     this->addJob("after", 10, 300);
     CHECK(this->runUntil([this] { return this->isCompleted("after"); }, absl::Seconds(10)));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(RestartFixture, "worker_startedAgainUnderItsId_leavesNoJobAtItsFirstStep")
@@ -57,7 +57,7 @@
     this->restart("w0");
     this->addJob("steps", 1, 200, 2);
     CHECK(this->runUntil([this] { return this->isCompleted("steps"); }, absl::Seconds(5)));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(RestartFixture, "worker_startedAgainTwice_runsEachTaskOnce")
@@ -69,7 +69,7 @@
         CHECK(this->runUntil([&] { return this->isCompleted(job); }, absl::Seconds(5)));
     }
     CHECK(this->workers.starts == 40 + 12);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(RestartFixture, "startsThatReachTheNextLife_beforeItIsAnnounced_areItsRunsAndRunOnce")
@@ -84,13 +84,13 @@
     this->runFor(absl::Milliseconds(1200));
     this->announce("w0");
     CHECK(this->runUntil([this] { return this->isCompleted("short") && this->isCompleted("long"); }, absl::Seconds(10)));
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(RestartFixture, "lifeThatHasGoneOn_afterAStartReachedIt_keepsTheRunAcrossItsAnnouncement")
 {
     this->addWorkerWithHistory(3);
-    const workload::Life before = this->lifeOf("w0");
+    const workload::Incarnation before = this->incarnationOf("w0");
     this->addJob("long", 1, 4000);
     REQUIRE(this->runUntil([this] { return !this->workers.workers["w0"].runs.empty(); }, absl::Seconds(1)));
     // As if the start had reached the next life alone.
@@ -103,23 +103,23 @@
     this->announce("w0");
     this->runFor(absl::Seconds(1));
     CHECK(this->state.findWorker(before) == nullptr);
-    CHECK(this->state.findJob("long")->task({"long", 0, 0, 0}).worker == this->lifeOf("w0"));
-    CHECK(this->state.findWorker(this->lifeOf("w0"))->reservedMilliProcessors == 1000);
+    CHECK(this->state.findJob("long")->task({"long", 0, 0, 0}).worker == this->incarnationOf("w0"));
+    CHECK(this->state.findWorker(this->incarnationOf("w0"))->reservedMilliProcessors == 1000);
     CHECK(this->runUntil([this] { return this->isCompleted("long"); }, absl::Seconds(10)));
     CHECK(this->workers.starts == 4);
-    CHECK(this->workers.problems.empty());
+    CHECK(this->workers.violations.empty());
 }
 
 TEST_CASE_METHOD(RestartFixture, "worker_startedAgainUnderItsId_countsAsOneLossForWhatRanThere")
 {
     this->addWorker("w0", 4000, "", true);
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
     this->addJob("a", 1, 60'000);
     const workload::TaskKey task("a", 0, 0, 0);
     for (std::size_t losses = 1; losses <= 2; ++losses) {
         REQUIRE(this->runUntil([&] { return !this->workers.workers["w0"].runs.empty(); }, absl::Seconds(2)));
-        const std::string lost = this->lifeOf("w0").text();
+        const std::string lost = this->incarnationOf("w0").text();
         this->runFor(absl::Milliseconds(200));
         this->restart("w0");
         this->runFor(absl::Milliseconds(500));
@@ -135,7 +135,7 @@
     const std::uint64_t before = this->workers.workers["w0"].fence;
     this->restart("w0");
     CHECK(this->workers.workers["w0"].fence > before);
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
     CHECK(this->workers.workers["w0"].fence == fencingToken(2, 0));
 }
@@ -160,7 +160,7 @@
     this->runFor(absl::Seconds(2));
     CHECK(acknowledged.back() == 3);
     acknowledged.clear();
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Milliseconds(10));
     REQUIRE(!acknowledged.empty());
     CHECK(acknowledged.front() == 0);
@@ -169,14 +169,14 @@
 TEST_CASE_METHOD(RestartFixture, "listWithoutABirth_ofALifeThatHasToldIt_isNoAnswer")
 {
     this->addWorker("w0", 4000, "", true);
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
     this->addJob("a", 1, 500);
     REQUIRE(this->runUntil([this] { return !this->workers.workers["w0"].runs.empty(); }, absl::Seconds(1)));
     this->workers.workers["w0"].born = 0;
     this->runFor(absl::Seconds(3));
     CHECK_FALSE(this->isCompleted("a"));
-    this->workers.workers["w0"].born = this->lifeOf("w0").born;
+    this->workers.workers["w0"].born = this->incarnationOf("w0").born;
     CHECK(this->runUntil([this] { return this->isCompleted("a"); }, absl::Seconds(3)));
     CHECK(this->workers.starts == 1);
 }
@@ -190,9 +190,9 @@
         for (unsigned int number = 0; number < workers; ++number) {
             fixture.addWorker(absl::StrCat("w", number), 4000, "", number % 2 == 0);
         }
-        fixture.newLeader();
-        fixture.weather.lostAfter = *rc::gen::inRange(0U, 20U);
-        fixture.weather.late = *rc::gen::inRange(0U, 20U);
+        fixture.electLeader();
+        fixture.networkFaults.answerLossPercent = *rc::gen::inRange(0U, 20U);
+        fixture.networkFaults.delayPercent = *rc::gen::inRange(0U, 20U);
         std::vector<work::RegisterWorkerT> earlier;
         const int events = *rc::gen::inRange(2, 12);
         for (int event = 0; event < events; ++event) {
@@ -204,7 +204,7 @@
             fixture.runFor(absl::Milliseconds(300 + fixture.random() % 2000));
             fixture.workers.restart(fixture.now, id);
             if (fixture.random() % 3 == 0) {
-                fixture.newLeader();
+                fixture.electLeader();
             }
             fixture.runFor(absl::Milliseconds(fixture.random() % 1500));
             fixture.announce(id);
@@ -212,7 +212,7 @@
                 fixture.apply(earlier[fixture.random() % earlier.size()]); // a heartbeat that was held up
             }
         }
-        fixture.weather = Weather();
+        fixture.networkFaults = NetworkFaults();
         const bool isOver = fixture.runUntil(
             [&] {
                 for (int job = 0; job < events; ++job) {
@@ -223,7 +223,7 @@
                 return true;
             },
             absl::Seconds(40));
-        RC_ASSERT(fixture.workers.problems == std::vector<std::string>());
+        RC_ASSERT(fixture.workers.violations == std::vector<std::string>());
         RC_ASSERT(isOver);
     });
     CHECK(holds);
--- a/paddlepier/execution/runs.cpp
+++ b/paddlepier/execution/runs.cpp
@@ -33,20 +33,20 @@
 
 void Dispatcher::driveRuns(Timestamp now)
 {
-    this->stopNeedlessRuns(now);
+    this->stopObsoleteRuns(now);
     UnsentRuns unsent;
-    while (const std::optional<workload::TaskKey> key = this->dueRuns.take(now)) {
+    while (const std::optional<workload::TaskKey> key = this->runTimers.popExpired(now)) {
         const auto track = this->tracks.find(*key);
         if (track != this->tracks.end()) {
             this->driveRun(now, *key, track->second, unsent);
         }
     }
     for (const auto &[key, track] : unsent) {
-        this->endRuns(track.worker, {{key, track}}, work::RunEndKind::Void);
+        this->proposeEnds(track.worker, {{key, track}}, work::RunEndKind::Void);
     }
 }
 
-bool Dispatcher::isNeedless(const workload::Job &job, const workload::TaskKey &key)
+bool Dispatcher::isObsolete(const workload::Job &job, const workload::TaskKey &key)
 {
     if (job.hasEnded()) {
         return true;
@@ -56,20 +56,20 @@
     return step.mayRunCopies && !step.isGang && job.task(key).isDone;
 }
 
-void Dispatcher::stopNeedlessRuns(Timestamp now)
+void Dispatcher::stopObsoleteRuns(Timestamp now)
 {
-    if (!this->mayBeNeedless || now < this->nextNeedlessCheck) {
+    if (!this->mayHaveObsoleteRuns || now < this->nextObsoleteCheck) {
         return;
     }
-    this->mayBeNeedless = false;
-    this->nextNeedlessCheck = now + needlessInterval;
+    this->mayHaveObsoleteRuns = false;
+    this->nextObsoleteCheck = now + needlessInterval;
     const workload::Job *job = nullptr;
     for (auto &[key, track] : this->tracks) {
         // The runs of a job follow each other.
         if (job == nullptr || job->id() != key.job) {
             job = this->state.findJob(key.job);
         }
-        if (track.phase != RunPhase::Stopping && isNeedless(*job, key)) {
+        if (track.phase != RunPhase::Stopping && isObsolete(*job, key)) {
             this->stopRun(now, key, track, StopReason::JobEnded);
         }
     }
@@ -79,14 +79,14 @@
 {
     // What runs is followed by polls, and an answer or a worker's first list sets the run due again.
     const auto view = this->views.find(track.worker);
-    if (track.phase == RunPhase::Running || track.callInFlight || view == this->views.end() || view->second.isFenced || !view->second.hasListed) {
+    if (track.phase == RunPhase::Running || track.isCallInFlight || view == this->views.end() || view->second.isFenced || !view->second.hasListed) {
         return;
     }
     if (now < track.nextCall) {
-        this->dueRuns.set(key, track.nextCall);
+        this->runTimers.schedule(key, track.nextCall);
     } else if (track.phase == RunPhase::Stopping) {
         this->driveStop(now, key, track);
-    } else if (isNeedless(*this->state.findJob(key.job), key)) {
+    } else if (isObsolete(*this->state.findJob(key.job), key)) {
         this->stopRun(now, key, track, StopReason::JobEnded);
     } else if (!track.isAdopted) {
         this->driveStart(now, key, track, unsent);
@@ -98,10 +98,10 @@
     const bool isSettled = track.settledAt < absl::InfiniteFuture();
     const Timestamp patientUntil = isSettled ? track.settledAt + this->options.stopGrace + stopPatience : now;
     if (patientUntil > now) {
-        this->dueRuns.set(key, patientUntil);
+        this->runTimers.schedule(key, patientUntil);
         return;
     }
-    track.callInFlight = true;
+    track.isCallInFlight = true;
     this->send(now, track.worker, StopOrder{key, track.run}, orderTimeout, false);
 }
 
@@ -109,7 +109,7 @@
 {
     if (this->state.isEvacuated(*this->state.findWorker(track.worker))) {
         // Placed before the evacuation; a start that was sent may still be on its way, and is kept from beginning.
-        this->takeBackStart(now, key, track, StopReason::Evacuated, unsent);
+        this->cancelStart(now, key, track, StopReason::Evacuated, unsent);
         return;
     }
     if (!this->views.at(track.worker).isReachable()) {
@@ -117,18 +117,18 @@
             // Nothing was sent: the task needn't wait for this worker.
             unsent.emplace_back(key, track);
         } else {
-            this->dueRuns.set(key, now + unreachablePause);
+            this->runTimers.schedule(key, now + unreachablePause);
         }
         return;
     }
-    if (this->state.findWorker(track.worker)->isOverRoom()) {
+    if (this->state.findWorker(track.worker)->isOvercommitted()) {
         // Its room has shrunk since the task was placed, and a worker that doesn't guard its room would take the task all the same.
-        this->takeBackStart(now, key, track, StopReason::RoomShrunk, unsent);
+        this->cancelStart(now, key, track, StopReason::RoomShrunk, unsent);
         return;
     }
-    if (this->isTeamOverdrawn(key)) {
+    if (this->isTeamOverQuota(key)) {
         // The quota was lowered since the task was placed.
-        this->takeBackStart(now, key, track, StopReason::QuotaLowered, unsent);
+        this->cancelStart(now, key, track, StopReason::QuotaLowered, unsent);
         return;
     }
     const bool isTicketOver = now > track.ticketValidUntil;
@@ -138,12 +138,12 @@
     }
     const workload::Job &job = *this->state.findJob(key.job);
     ++track.startCalls;
-    track.callInFlight = true;
+    track.isCallInFlight = true;
     this->send(now, track.worker, StartOrder{key, track.run, job.spec().payload, track.checkpoint, track.ticket}, orderTimeout, true);
     this->limitWatch(now, track.worker);
 }
 
-void Dispatcher::takeBackStart(Timestamp now, const workload::TaskKey &key, RunTrack &track, StopReason reason, UnsentRuns &unsent)
+void Dispatcher::cancelStart(Timestamp now, const workload::TaskKey &key, RunTrack &track, StopReason reason, UnsentRuns &unsent)
 {
     if (track.startCalls == 0) {
         unsent.emplace_back(key, track);
@@ -152,19 +152,19 @@
     }
 }
 
-bool Dispatcher::isTeamOverdrawn(const workload::TaskKey &key) const
+bool Dispatcher::isTeamOverQuota(const workload::TaskKey &key) const
 {
-    return this->state.teams().roomOf(this->state.findJob(key.job)->team()).isOverdrawn();
+    return this->state.teams().headroomOf(this->state.findJob(key.job)->team()).isExceeded();
 }
 
-void Dispatcher::takeStart(Timestamp now, const PendingCall &call, const StartOrder &order, const WorkerAnswer &answer)
+void Dispatcher::handleStartAnswer(Timestamp now, const PendingCall &call, const StartOrder &order, const WorkerAnswer &answer)
 {
     RunTrack *track = this->findTrack(order.task, order.run, call.worker);
     if (track == nullptr) {
         return;
     }
-    track->callInFlight = false;
-    this->dueRuns.set(order.task, now);
+    track->isCallInFlight = false;
+    this->runTimers.schedule(order.task, now);
     if (answer.kind != AnswerKind::Accepted) {
         log::info(
             "dispatch",
@@ -196,10 +196,10 @@
         view.startsBlockedUntil = now + absl::Seconds(2);
         break;
     case AnswerKind::BadTicket:
-        this->advice.rejectTicket(order.task.stepKey(), call.worker);
+        this->adviceCache.rejectTicket(order.task.stepKey(), call.worker);
         break;
     case AnswerKind::Invalid:
-        this->setbacks.noteRefusal(now, order.task);
+        this->taskBackoff.recordRefusal(now, order.task);
         break;
     case AnswerKind::NoRoom:
         break;
@@ -211,7 +211,7 @@
     if (track->mayStartLate) {
         this->stopRun(now, order.task, *track, StopReason::StartUnsettled);
     } else {
-        this->endRuns(call.worker, {{order.task, *track}}, work::RunEndKind::Void);
+        this->proposeEnds(call.worker, {{order.task, *track}}, work::RunEndKind::Void);
     }
 }
 
@@ -225,10 +225,10 @@
               {{"task", key.text()}, {"run", track.run}, {"worker", track.worker.text()}, {"reason", nameOf(reason)}, {"percent", track.percent}});
     track.phase = RunPhase::Stopping;
     track.nextCall = now;
-    this->dueRuns.set(key, now);
+    this->runTimers.schedule(key, now);
 }
 
-void Dispatcher::takeStop(Timestamp now, const PendingCall &call, const StopOrder &order, const WorkerAnswer &answer)
+void Dispatcher::handleStopAnswer(Timestamp now, const PendingCall &call, const StopOrder &order, const WorkerAnswer &answer)
 {
     RunTrack *track = this->findTrack(order.task, order.run, call.worker);
     const bool isSettled = answer.kind == AnswerKind::Accepted || answer.kind == AnswerKind::OldRun;
@@ -241,9 +241,9 @@
     if (track == nullptr) {
         return;
     }
-    track->callInFlight = false;
+    track->isCallInFlight = false;
     track->nextCall = now + orderRetryPause;
-    this->dueRuns.set(order.task, track->nextCall);
+    this->runTimers.schedule(order.task, track->nextCall);
     if (isSettled) {
         track->settledAt = now;
     }
--- a/paddlepier/execution/runtrack.h
+++ b/paddlepier/execution/runtrack.h
@@ -6,7 +6,7 @@
 #define PADDLEPIER_EXECUTION_RUNTRACK_H
 
 #include "paddlepier/base/clock.h"
-#include "paddlepier/workload/life.h"
+#include "paddlepier/workload/incarnation.h"
 #include "paddlepier/workload/taskkey.h"
 
 #include <cstdint>
@@ -29,14 +29,14 @@
  * A run that its worker has answered for this long with, since it began, didn't take it down by starting. Longer than the
  * start-up of a lasting task (4 s), and short enough to keep other work off a worker meanwhile.
  */
-constexpr Duration settledAfter = absl::Seconds(5);
+constexpr Duration settlingTime = absl::Seconds(5);
 
 enum class StopReason { None, JobEnded, Preempted, StandsStill, WorkerLeaves, StartUnsettled, Disturbs, GangIncomplete, RoomShrunk, QuotaLowered, Evacuated };
 const char *nameOf(StopReason reason);
 
 struct RunTrack {
     std::uint32_t run = 0;
-    workload::Life worker;
+    workload::Incarnation worker;
     RunPhase phase = RunPhase::Starting;
     std::string ticket;
     Timestamp ticketValidUntil = absl::InfiniteFuture();
@@ -49,7 +49,7 @@
     Timestamp listedAt = absl::InfinitePast();
     /** A start got no answer: the worker may carry it out later. */
     bool mayStartLate = false;
-    bool callInFlight = false;
+    bool isCallInFlight = false;
     /** The worker has confirmed that the run is over, or can't begin any more; its end may still be listed. */
     Timestamp settledAt = absl::InfiniteFuture();
     Timestamp nextCall = absl::InfinitePast();
@@ -70,7 +70,7 @@
     /** It has run for settledAfter at @p then. */
     bool isSettledAt(Timestamp then) const
     {
-        return this->runningSince < absl::InfiniteFuture() && then - this->runningSince >= settledAfter;
+        return this->runningSince < absl::InfiniteFuture() && then - this->runningSince >= settlingTime;
     }
 };
 
--- a/paddlepier/execution/stepreport.cpp
+++ b/paddlepier/execution/stepreport.cpp
@@ -9,30 +9,30 @@
 namespace paddlepier::execution
 {
 
-void StepReports::noteDone(const workload::TaskKey &task, const DoneRun &run)
+void StepReports::recordDone(const workload::TaskKey &task, const DoneRun &run)
 {
     Tally &tally = this->tallies[task.stepKey()];
     ++tally.runs;
     tally.repeated += run.run > 1 ? 1 : 0;
-    tally.total += run.wholeTime;
+    tally.total += run.totalTime;
     tally.lastTask = task.index;
     tally.lastRun = run;
 }
 
-void StepReports::writeEnded(const workload::Workload &state)
+void StepReports::logEnded(const workload::Workload &state)
 {
     for (auto entry = this->tallies.begin(); entry != this->tallies.end();) {
         const workload::StepKey &key = entry->first;
         const workload::Job *job = state.findJob(key.job);
         const bool isDone = job != nullptr && job->occurrences().at(key.occurrence).steps.at(key.step).isDone();
         if (isDone) {
-            write(key, entry->second, *job, state.appliedAtMillis());
+            logStep(key, entry->second, *job, state.appliedAtMillis());
         }
         entry = isDone || job == nullptr || job->hasEnded() ? this->tallies.erase(entry) : std::next(entry);
     }
 }
 
-void StepReports::write(const workload::StepKey &step, const Tally &tally, const workload::Job &job, std::int64_t nowMillis)
+void StepReports::logStep(const workload::StepKey &step, const Tally &tally, const workload::Job &job, std::int64_t nowMillis)
 {
     log::info("dispatch",
               "step.ended",
@@ -45,7 +45,7 @@
                {"last", absl::StrCat(tally.lastTask, "@", tally.lastRun.worker.text())},
                {"lastRun", tally.lastRun.run},
                {"lastStartMillis", absl::ToInt64Milliseconds(tally.lastRun.startTime)},
-               {"lastMillis", absl::ToInt64Milliseconds(tally.lastRun.wholeTime)},
+               {"lastMillis", absl::ToInt64Milliseconds(tally.lastRun.totalTime)},
                {"jobEnded", job.hasEnded()}});
 }
 
--- a/paddlepier/execution/stepreport.h
+++ b/paddlepier/execution/stepreport.h
@@ -14,7 +14,7 @@
 #define PADDLEPIER_EXECUTION_STEPREPORT_H
 
 #include "paddlepier/base/clock.h"
-#include "paddlepier/workload/life.h"
+#include "paddlepier/workload/incarnation.h"
 #include "paddlepier/workload/workload.h"
 
 #include <cstdint>
@@ -26,20 +26,20 @@
 
 /** A run that ended as done, as the leader saw it; negative times where it was placed by an earlier leader. */
 struct DoneRun {
-    workload::Life worker;
+    workload::Incarnation worker;
     std::uint32_t run = 0;
     /** From its placement until its worker had begun it. */
     Duration startTime;
     /** From its placement until its end was heard of. */
-    Duration wholeTime;
+    Duration totalTime;
 };
 
 class StepReports
 {
 public:
-    void noteDone(const workload::TaskKey &task, const DoneRun &run);
+    void recordDone(const workload::TaskKey &task, const DoneRun &run);
     /** Writes a line for each step that the ledger has as done, and drops those of jobs that have ended otherwise. */
-    void writeEnded(const workload::Workload &state);
+    void logEnded(const workload::Workload &state);
 
 private:
     struct Tally {
@@ -50,7 +50,7 @@
         DoneRun lastRun;
     };
 
-    static void write(const workload::StepKey &step, const Tally &tally, const workload::Job &job, std::int64_t nowMillis);
+    static void logStep(const workload::StepKey &step, const Tally &tally, const workload::Job &job, std::int64_t nowMillis);
 
     std::map<workload::StepKey, Tally> tallies;
 };
--- a/paddlepier/execution/setbacks.h
+++ b/paddlepier/execution/taskbackoff.h
@@ -10,8 +10,8 @@
 //
 // Thread safety: none; owned by the dispatcher, for one term. Cost: O(log n) of the tasks with setbacks.
 
-#ifndef PADDLEPIER_EXECUTION_SETBACKS_H
-#define PADDLEPIER_EXECUTION_SETBACKS_H
+#ifndef PADDLEPIER_EXECUTION_TASKBACKOFF_H
+#define PADDLEPIER_EXECUTION_TASKBACKOFF_H
 
 #include "paddlepier/base/clock.h"
 #include "paddlepier/workload/taskkey.h"
@@ -22,35 +22,35 @@
 namespace paddlepier::execution
 {
 
-class Setbacks
+class TaskBackoff
 {
 public:
     /** A worker has refused a start of the task as invalid. */
-    void noteRefusal(Timestamp now, const workload::TaskKey &task);
+    void recordRefusal(Timestamp now, const workload::TaskKey &task);
     /** A run of the task has failed, or was stopped since it stood still. @return whether its worker may be to blame */
-    bool noteBadRun(const workload::TaskKey &task);
+    bool recordFailedRun(const workload::TaskKey &task);
     /** Some task may pause: spares plans the look-up of each waiting task. */
-    bool hasPauses(Timestamp now) const;
+    bool hasBackoffs(Timestamp now) const;
     /** The task isn't to be started yet. */
-    bool isPaused(Timestamp now, const workload::TaskKey &task) const;
+    bool isBackingOff(Timestamp now, const workload::TaskKey &task) const;
 
     /** Drops what is known of jobs that @p isOver says to have ended. */
     template<typename Predicate>
-    void forgetJobs(Predicate isOver)
+    void removeEndedJobs(Predicate isOver)
     {
         std::erase_if(this->byTask, [&isOver](const auto &entry) { return isOver(entry.first.job); });
     }
 
 private:
-    struct Setback {
+    struct Entry {
         std::uint32_t refusals = 0;
-        std::uint32_t badRuns = 0;
-        Timestamp pausedUntil = absl::InfinitePast();
+        std::uint32_t failedRuns = 0;
+        Timestamp backoffUntil = absl::InfinitePast();
     };
 
-    std::map<workload::TaskKey, Setback> byTask;
+    std::map<workload::TaskKey, Entry> byTask;
     /** No task pauses for longer. */
-    Timestamp lastPauseEnd = absl::InfinitePast();
+    Timestamp latestBackoffEnd = absl::InfinitePast();
 };
 
 } // namespace paddlepier::execution
--- a/paddlepier/execution/setbacks_test.cpp
+++ b/paddlepier/execution/taskbackoff_test.cpp
@@ -14,11 +14,11 @@
         this->addWorker(id);
     }
     std::size_t refused = 0;
-    this->workers.refuses = [&refused](const workload::TaskKey &task) {
+    this->workers.isRefused = [&refused](const workload::TaskKey &task) {
         refused += task.job == "bad" ? 1 : 0;
         return task.job == "bad";
     };
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
     this->addJob("bad", 1, 500);
     this->addJob("good", 6, 500);
@@ -26,7 +26,7 @@
     this->runFor(absl::Seconds(30));
     CHECK(refused >= 4);
     CHECK(refused <= 12);
-    this->workers.refuses = nullptr;
+    this->workers.isRefused = nullptr;
     CHECK(this->runUntil([this] { return this->isCompleted("bad"); }, absl::Seconds(15)));
 }
 
@@ -34,9 +34,9 @@
 {
     for (int number = 0; number < 4; ++number) {
         this->addWorker(absl::StrCat("w", number));
-        this->workers.workers[absl::StrCat("w", number)].stalls = true;
+        this->workers.workers[absl::StrCat("w", number)].isStalling = true;
     }
-    this->newLeader();
+    this->electLeader();
     this->runFor(absl::Seconds(1));
     this->addJob("hangs", 1, 5000);
     std::set<std::uint32_t> runs;
@@ -47,7 +47,7 @@
     };
     REQUIRE(this->runUntil([&runs] { return runs.size() >= 6; }, absl::Seconds(30)));
     for (auto &[id, worker] : this->workers.workers) {
-        worker.stalls = false;
+        worker.isStalling = false;
     }
     // Were all of them under suspicion, one run at a time would go to each.
     this->addJob("good", 12, 300);
@@ -59,8 +59,8 @@
     for (int number = 0; number < 4; ++number) {
         this->addWorker(absl::StrCat("w", number));
     }
-    this->workers.fails = [](const workload::TaskKey &task, std::uint32_t) { return task.job == "watch"; };
-    this->newLeader();
+    this->workers.isFailing = [](const workload::TaskKey &task, std::uint32_t) { return task.job == "watch"; };
+    this->electLeader();
     this->runFor(absl::Seconds(1));
     this->submit("watch", 2, 250, [](work::JobSpecT &, work::StepSpecT &step) { step.isLasting = true; });
     this->runFor(absl::Seconds(10));
--- a/paddlepier/execution/duequeue.h
+++ b/paddlepier/execution/timerqueue.h
@@ -8,8 +8,8 @@
 //
 // Thread safety: none; owned by the control thread. Every operation is O(log n).
 
-#ifndef PADDLEPIER_EXECUTION_DUEQUEUE_H
-#define PADDLEPIER_EXECUTION_DUEQUEUE_H
+#ifndef PADDLEPIER_EXECUTION_TIMERQUEUE_H
+#define PADDLEPIER_EXECUTION_TIMERQUEUE_H
 
 #include "paddlepier/base/clock.h"
 
@@ -22,10 +22,10 @@
 {
 
 template<typename Key>
-class DueQueue
+class TimerQueue
 {
 public:
-    void set(const Key &key, Timestamp at)
+    void schedule(const Key &key, Timestamp at)
     {
         const auto [entry, isNew] = this->byKey.try_emplace(key, at);
         if (!isNew && entry->second == at) {
@@ -39,7 +39,7 @@
     }
 
     /** Removes the key that has been due longest. @return nothing if none is due by @p now */
-    std::optional<Key> take(Timestamp now)
+    std::optional<Key> popExpired(Timestamp now)
     {
         if (this->byTime.empty() || this->byTime.begin()->first > now) {
             return std::nullopt;
--- a/paddlepier/execution/waiting_test.cpp
+++ b/paddlepier/execution/waiting_test.cpp
@@ -21,15 +21,15 @@
     {
         this->addWorker("w0");
         this->addWorker("w1");
-        this->newLeader();
+        this->electLeader();
         this->runFor(absl::Seconds(1));
     }
 
     /** The reason that is told for @p job once it has waited for long. */
     std::string reasonOf(const std::string &job)
     {
-        this->runUntil([&] { return !this->dispatcher->waitOf(job).empty(); }, absl::Seconds(20));
-        const std::string text = this->dispatcher->waitOf(job);
+        this->runUntil([&] { return !this->dispatcher->longWaitReason(job).empty(); }, absl::Seconds(20));
+        const std::string text = this->dispatcher->longWaitReason(job);
         return text.substr(text.find(": ") == std::string::npos ? 0 : text.find(": ") + 2);
     }
 
@@ -48,12 +48,12 @@
     explicit FaultsFixture(std::uint32_t seed)
     {
         this->random.seed(seed);
-        this->hasCarrier = seed % 2 == 1;
+        this->hasRelay = seed % 2 == 1;
         for (unsigned int number = 0; number < workerCount; ++number) {
             this->addWorker(absl::StrCat("w", number), 4000, "", true);
         }
-        this->permits = [](const workload::StepKey &step, const std::string &worker) { return (std::hash<std::string>()(step.job + worker) & 3U) != 0; };
-        this->workers.crashes = [](const workload::TaskKey &key, std::uint32_t run) { return absl::StartsWith(key.job, "deadly") && run <= 2; };
+        this->isPermitted = [](const workload::StepKey &step, const std::string &worker) { return (std::hash<std::string>()(step.job + worker) & 3U) != 0; };
+        this->workers.isCrashing = [](const workload::TaskKey &key, std::uint32_t run) { return absl::StartsWith(key.job, "deadly") && run <= 2; };
         this->onStep = [this] {
             for (auto &[id, worker] : this->workers.workers) {
                 if (worker.crashedAt + absl::Seconds(1) <= this->now) {
@@ -61,13 +61,13 @@
                 }
             }
         };
-        this->newLeader();
+        this->electLeader();
     }
 
     /** Jobs of either queue with faults between them; then the faults end. */
     void playFaults(unsigned int lostAfter, int events)
     {
-        this->weather.lostAfter = lostAfter;
+        this->networkFaults.answerLossPercent = lostAfter;
         this->adviceDelay = absl::Milliseconds(this->roll(800));
         for (int event = 0; event < events; ++event) {
             this->queueOfJobs = this->roll(2) == 0 ? "quick" : "advised";
@@ -77,13 +77,13 @@
             const std::string id = absl::StrCat("w", this->roll(workerCount));
             this->playFault(id, this->roll(4));
         }
-        this->weather = Weather();
+        this->networkFaults = NetworkFaults();
         this->adviceDelay = absl::ZeroDuration();
         this->runFor(absl::Seconds(2));
         for (unsigned int number = 0; number < workerCount; ++number) {
             const std::string id = absl::StrCat("w", number);
             this->workers.workers[id].isCut = false;
-            this->setRoom(id, 4000);
+            this->setCapacity(id, 4000);
         }
     }
 
@@ -91,7 +91,8 @@
     bool settlesSoon()
     {
         const auto isSettled = [this](const std::string &job) {
-            return this->fitsWhereItIsPermitted(job) ? this->state.findJob(job)->hasEnded() : absl::EndsWith(this->dispatcher->waitOf(job), ": no-room");
+            return this->fitsWhereItIsPermitted(job) ? this->state.findJob(job)->hasEnded()
+                                                     : absl::EndsWith(this->dispatcher->longWaitReason(job), ": no-room");
         };
         return this->runUntil([&] { return std::all_of(this->jobs.begin(), this->jobs.end(), isSettled); }, absl::Seconds(60));
     }
@@ -103,7 +104,7 @@
         const work::StepSpecT &step = job.stepSpec(0);
         std::uint32_t free = 0;
         for (const auto &[worker, registration] : this->registrations) {
-            const bool isPermitted = job.queue().advice == nullptr || this->permits({id, 0, 0}, worker);
+            const bool isPermitted = job.queue().advice == nullptr || this->isPermitted({id, 0, 0}, worker);
             free += isPermitted ? registration.capacity->milliProcessors() : 0;
         }
         return !step.isGang || step.count * step.demand->milliProcessors() <= free;
@@ -117,11 +118,11 @@
     void playFault(const std::string &id, unsigned int kind)
     {
         if (kind == 0) {
-            this->newLeader();
+            this->electLeader();
         } else if (kind == 1) {
             this->workers.crashSilently(this->now, id);
         } else if (kind == 2) {
-            this->setRoom(id, 1000 + 1000 * this->roll(4));
+            this->setCapacity(id, 1000 + 1000 * this->roll(4));
         } else {
             this->workers.workers[id].isCut = !this->workers.workers[id].isCut;
         }
@@ -140,7 +141,7 @@
     this->submitWith(
         "gang", [](work::StepSpecT &step) { step.isGang = true; }, 9);
     this->queueOfJobs = "advised";
-    this->permits = [](const workload::StepKey &step, const std::string &) { return step.job != "forbidden"; };
+    this->isPermitted = [](const workload::StepKey &step, const std::string &) { return step.job != "forbidden"; };
     this->submitWith("forbidden", [](work::StepSpecT &) {});
     CHECK(this->reasonOf("large") == "too-large");
     CHECK(this->reasonOf("label") == "no-worker");
@@ -167,7 +168,7 @@
 TEST_CASE_METHOD(WaitingFixture, "taskThatWorkersRefuse_isToldToBePaused")
 {
     this->begin();
-    this->workers.refuses = [](const workload::TaskKey &key) { return key.job == "refused"; };
+    this->workers.isRefused = [](const workload::TaskKey &key) { return key.job == "refused"; };
     this->addJob("refused", 1, 500);
     this->runFor(absl::Seconds(60));
     CHECK(this->reasonOf("refused") == "paused");
@@ -182,7 +183,7 @@
     this->announce("w1");
     CHECK(this->runUntil([this] { return this->isCompleted("label"); }, absl::Seconds(3)));
     this->runFor(absl::Seconds(3));
-    CHECK(this->dispatcher->waitOf("label").empty());
+    CHECK(this->dispatcher->longWaitReason("label").empty());
 }
 
 TEST_CASE("tasks_afterAnyFaults_waitNoLongerThanTheirReasonsLast", "[proof][fuzz]")
@@ -192,7 +193,7 @@
         const auto lostAfter = *rc::gen::inRange(0U, 25U);
         fixture.playFaults(lostAfter, *rc::gen::inRange(2, 10));
         RC_ASSERT(fixture.settlesSoon());
-        RC_ASSERT(fixture.workers.problems == std::vector<std::string>());
+        RC_ASSERT(fixture.workers.violations == std::vector<std::string>());
     });
     CHECK(holds);
 }
@@ -202,7 +203,7 @@
     FaultsFixture fixture(1158);
     fixture.playFaults(9, 3);
     CHECK(fixture.settlesSoon());
-    CHECK(fixture.workers.problems.empty());
+    CHECK(fixture.workers.violations.empty());
 }
 
 } // namespace paddlepier::execution
--- a/paddlepier/execution/workerview.cpp
+++ b/paddlepier/execution/workerview.cpp
@@ -46,28 +46,28 @@
 WorkerView::WorkerView(Timestamp termBegin, Duration longestLease, const Duration *pausesOfProcess)
     : knownSince(termBegin)
     , announcedAt(termBegin)
-    , oldLeasesOverAt(termBegin + slowed(longestLease) + leaseMargin)
+    , earlierLeasesExpireAt(termBegin + slowed(longestLease) + leaseMargin)
     , clockReadAt(termBegin)
-    , pauses(pausesOfProcess)
+    , processPauses(pausesOfProcess)
 {
 }
 
-void WorkerView::noteFailedRun(Timestamp now)
+void WorkerView::recordFailedRun(Timestamp now)
 {
-    ++this->failedInRow;
-    const std::uint32_t doublings = std::min(this->failedInRow, mostDoublings);
+    ++this->consecutiveFailures;
+    const std::uint32_t doublings = std::min(this->consecutiveFailures, mostDoublings);
     this->suspectUntil = now + shortestTimeOut * (1U << doublings);
 }
 
-void WorkerView::noteDoneRun()
+void WorkerView::recordDoneRun()
 {
-    this->failedInRow = 0;
+    this->consecutiveFailures = 0;
 }
 
-void WorkerView::noteAnswer(Timestamp now, std::optional<std::int64_t> clock)
+void WorkerView::recordAnswer(Timestamp now, std::optional<std::int64_t> clock)
 {
     this->answeredAt = now;
-    this->silences = 0;
+    this->consecutiveFailedCalls = 0;
     if (clock && this->clockMillis && *clock + strangeClockMillis < *this->clockMillis) {
         this->listedAt = absl::InfinitePast();
     }
@@ -78,31 +78,31 @@
     }
 }
 
-void WorkerView::noteList(Timestamp now)
+void WorkerView::recordListing(Timestamp now)
 {
     this->listedAt = now;
 }
 
-void WorkerView::noteLaterLife(Timestamp now, Duration longestLease)
+void WorkerView::recordSuccessor(Timestamp now, Duration longestLease)
 {
     this->isFenced = true;
-    this->oldLeasesOverAt = std::max(this->oldLeasesOverAt, now + slowed(longestLease) + leaseMargin);
+    this->earlierLeasesExpireAt = std::max(this->earlierLeasesExpireAt, now + slowed(longestLease) + leaseMargin);
 }
 
-bool WorkerView::isSurelySame(Timestamp now) const
+bool WorkerView::isIncarnationConfirmed(Timestamp now) const
 {
-    return this->listedAt + sameLifeFor >= now;
+    return this->listedAt + incarnationConfirmedFor >= now;
 }
 
-void WorkerView::noteSilence(Timestamp now)
+void WorkerView::recordFailedCall(Timestamp now)
 {
     this->listedAt = absl::InfinitePast();
-    ++this->silences;
-    const Duration pause = std::min(longestSilencePause, silencePause * this->silences);
-    this->nextPoll = now + (this->isGone(now) ? gonePause : pause);
+    ++this->consecutiveFailedCalls;
+    const Duration pause = std::min(longestSilencePause, silencePause * this->consecutiveFailedCalls);
+    this->nextPoll = now + (this->isLikelyGone(now) ? gonePause : pause);
 }
 
-bool WorkerView::isGone(Timestamp now) const
+bool WorkerView::isLikelyGone(Timestamp now) const
 {
     const bool hasLeft = this->leavesAt + leftPatience < now;
     return hasLeft || std::max({this->knownSince, this->announcedAt, this->answeredAt}) + gonePatience < now;
@@ -116,68 +116,68 @@
     return *this->clockMillis + absl::ToInt64Milliseconds(now - this->clockReadAt) + absl::ToInt64Milliseconds(lease);
 }
 
-void WorkerView::noteLease(std::int64_t endOnWorkerClock)
+void WorkerView::recordLease(std::int64_t endOnWorkerClock)
 {
-    this->longestGivenEnd = std::max(this->longestGivenEnd, endOnWorkerClock);
+    this->latestLeaseEnd = std::max(this->latestLeaseEnd, endOnWorkerClock);
 }
 
-bool WorkerView::leaseIsOver(Timestamp now) const
+bool WorkerView::hasLeaseExpired(Timestamp now) const
 {
-    if (now < this->oldLeasesOverAt) {
+    if (now < this->earlierLeasesExpireAt) {
         return false;
     }
-    if (this->longestGivenEnd == 0) {
+    if (this->latestLeaseEnd == 0) {
         return true;
     }
-    const Duration left = absl::Milliseconds(this->longestGivenEnd - *this->clockMillis);
+    const Duration left = absl::Milliseconds(this->latestLeaseEnd - *this->clockMillis);
     return now > this->clockReadAt + slowed(left) + leaseMargin;
 }
 
 bool WorkerView::isReachable() const
 {
-    return this->isKnown() && this->silences == 0 && !this->isFenced;
+    return this->hasClock() && this->consecutiveFailedCalls == 0 && !this->isFenced;
 }
 
-bool WorkerView::isSilent() const
+bool WorkerView::isUnresponsive() const
 {
-    return this->silences > 0;
+    return this->consecutiveFailedCalls > 0;
 }
 
-void WorkerView::noteCall(std::uint64_t call, Timestamp due)
+void WorkerView::recordCall(std::uint64_t call, Timestamp due)
 {
-    this->dueAnswers[call] = due - this->pausesSoFar();
+    this->answerDeadlines[call] = due - this->totalPause();
 }
 
-void WorkerView::noteCallEnd(std::uint64_t call)
+void WorkerView::recordCallEnd(std::uint64_t call)
 {
-    this->dueAnswers.erase(call);
+    this->answerDeadlines.erase(call);
 }
 
-Duration WorkerView::pausesSoFar() const
+Duration WorkerView::totalPause() const
 {
-    return this->pauses == nullptr ? absl::ZeroDuration() : *this->pauses;
+    return this->processPauses == nullptr ? absl::ZeroDuration() : *this->processPauses;
 }
 
 bool WorkerView::isOverdue(Timestamp now) const
 {
-    const Timestamp activeNow = now - this->pausesSoFar();
-    return std::any_of(this->dueAnswers.begin(), this->dueAnswers.end(), [activeNow](const auto &entry) { return entry.second < activeNow; });
+    const Timestamp activeNow = now - this->totalPause();
+    return std::any_of(this->answerDeadlines.begin(), this->answerDeadlines.end(), [activeNow](const auto &entry) { return entry.second < activeNow; });
 }
 
-Timestamp WorkerView::nextChange(Timestamp now) const
+Timestamp WorkerView::nextTimedChange(Timestamp now) const
 {
     Timestamp next = absl::InfiniteFuture();
     const auto take = [now, &next](Timestamp at) { next = at > now ? std::min(next, at) : next; };
     take(this->startsBlockedUntil);
     take(this->suspectUntil);
-    for (const auto &[call, due] : this->dueAnswers) {
+    for (const auto &[call, due] : this->answerDeadlines) {
         // It is overdue after that time, not at it.
-        take(due + this->pausesSoFar() + absl::Nanoseconds(1));
+        take(due + this->totalPause() + absl::Nanoseconds(1));
     }
     return next;
 }
 
-bool WorkerView::isKnown() const
+bool WorkerView::hasClock() const
 {
     return this->clockMillis.has_value();
 }
--- a/paddlepier/execution/workerview.h
+++ b/paddlepier/execution/workerview.h
@@ -11,7 +11,7 @@
 
 #include "paddlepier/base/clock.h"
 #include "paddlepier/execution/pacecontrol.h"
-#include "paddlepier/workload/life.h"
+#include "paddlepier/workload/incarnation.h"
 
 #include <algorithm>
 #include <cstddef>
@@ -27,7 +27,7 @@
 constexpr std::int64_t clockSlowPerMille = 30;
 
 /** A sound worker answers in some 10 ms; one whose answer is this late gets no further work until it answers. */
-constexpr Duration answerPatience = absl::Milliseconds(250);
+constexpr Duration minAnswerTimeout = absl::Milliseconds(250);
 
 enum class PollState { Idle, InFlight, RecordingEnds };
 
@@ -35,7 +35,7 @@
  * An answer proves for this long that the same life will hear the next poll: much shorter than a worker takes to start again, to be given a
  * task and to end it.
  */
-constexpr Duration sameLifeFor = absl::Milliseconds(250);
+constexpr Duration incarnationConfirmedFor = absl::Milliseconds(250);
 
 class WorkerView
 {
@@ -48,40 +48,40 @@
     WorkerView(Timestamp termBegin, Duration longestLease, const Duration *pauses = nullptr);
 
     /** A run has ended by a fault, its own or the worker's. */
-    void noteFailedRun(Timestamp now);
-    void noteDoneRun();
+    void recordFailedRun(Timestamp now);
+    void recordDoneRun();
     /** A whole answer has come. */
-    void noteAnswer(Timestamp now, std::optional<std::int64_t> clockMillis);
+    void recordAnswer(Timestamp now, std::optional<std::int64_t> clockMillis);
     /** It has listed its runs, so that it was this life that answered. */
-    void noteList(Timestamp now);
+    void recordListing(Timestamp now);
     /** A call has ended without a whole answer. */
-    void noteSilence(Timestamp now);
+    void recordFailedCall(Timestamp now);
     /** A later life under its id is known: no more calls; orders under way, and leases that they give, may reach that one. */
-    void noteLaterLife(Timestamp now, Duration longestLease);
+    void recordSuccessor(Timestamp now, Duration longestLease);
 
     /**
      * What is sent now will be heard by this life and no later one under its id, so that ends may be acknowledged to it. A later life
      * would forget ends of its own by those numbers, and nobody would hear of them.
      */
-    bool isSurelySame(Timestamp now) const;
+    bool isIncarnationConfirmed(Timestamp now) const;
 
     /** The end that a lease of @p lease from now has on the worker's clock; 0 while that clock isn't known. */
     std::int64_t leaseEnd(Timestamp now, Duration lease) const;
-    void noteLease(std::int64_t endOnWorkerClock);
-    bool leaseIsOver(Timestamp now) const;
+    void recordLease(std::int64_t endOnWorkerClock);
+    bool hasLeaseExpired(Timestamp now) const;
 
     bool isReachable() const;
     /** The newest call to it got no answer. */
-    bool isSilent() const;
+    bool isUnresponsive() const;
 
     /** A call was sent whose answer is due by @p due. */
-    void noteCall(std::uint64_t call, Timestamp due);
-    void noteCallEnd(std::uint64_t call);
+    void recordCall(std::uint64_t call, Timestamp due);
+    void recordCallEnd(std::uint64_t call);
     /** An answer is overdue: the worker may be cut off, long before a call has timed out. */
     bool isOverdue(Timestamp now) const;
     /** When the passing of time alone next makes an answer overdue, or a pause in its work end; infinite if it doesn't. O(calls under way). */
-    Timestamp nextChange(Timestamp now) const;
-    bool isKnown() const;
+    Timestamp nextTimedChange(Timestamp now) const;
+    bool hasClock() const;
     Timestamp lastAnswerAt() const;
 
     PollState pollState = PollState::Idle;
@@ -107,7 +107,7 @@
     Timestamp announcedAt;
     std::uint64_t announcedSequence = 0;
     /** Failed ends in a row. */
-    std::uint32_t failedInRow = 0;
+    std::uint32_t consecutiveFailures = 0;
     /** No work before this time, if it has failed several times in a row. */
     Timestamp suspectUntil = absl::InfinitePast();
     /** Smoothed ratio of a run's time there to what was expected; 1 is an ordinary worker. */
@@ -118,23 +118,23 @@
 
 private:
     /** Silent, and unlikely to answer again. */
-    bool isGone(Timestamp now) const;
-    Duration pausesSoFar() const;
+    bool isLikelyGone(Timestamp now) const;
+    Duration totalPause() const;
 
-    Timestamp oldLeasesOverAt;
-    std::int64_t longestGivenEnd = 0;
+    Timestamp earlierLeasesExpireAt;
+    std::int64_t latestLeaseEnd = 0;
     std::optional<std::int64_t> clockMillis;
     Timestamp clockReadAt;
     Timestamp answeredAt = absl::InfinitePast();
     /** When it last listed its runs; infinitely long ago since anything made it doubtful which life is there. */
     Timestamp listedAt = absl::InfinitePast();
-    std::uint32_t silences = 0;
-    const Duration *pauses;
+    std::uint32_t consecutiveFailedCalls = 0;
+    const Duration *processPauses;
     /** Calls under way and when their answers are due, less the pauses up to the call. */
-    std::map<std::uint64_t, Timestamp> dueAnswers;
+    std::map<std::uint64_t, Timestamp> answerDeadlines;
 };
 
-using WorkerViews = std::map<workload::Life, WorkerView>;
+using WorkerViews = std::map<workload::Incarnation, WorkerView>;
 
 /** Number of @p views for which @p predicate holds. O(workers). */
 template<typename Predicate>
--- a/paddlepier/execution/workerview_test.cpp
+++ b/paddlepier/execution/workerview_test.cpp
@@ -22,52 +22,52 @@
 
 TEST_CASE_METHOD(WorkerViewFixture, "lease_ofEarlierLeaders_isOverOnlyAfterTheLongestOne")
 {
-    CHECK_FALSE(this->view.leaseIsOver(this->begin + lease));
-    CHECK(this->view.leaseIsOver(this->begin + lease + absl::Seconds(1)));
+    CHECK_FALSE(this->view.hasLeaseExpired(this->begin + lease));
+    CHECK(this->view.hasLeaseExpired(this->begin + lease + absl::Seconds(1)));
 }
 
 TEST_CASE_METHOD(WorkerViewFixture, "lease_onASlowClock_isOverOnlyWhenThatClockIsPastIt")
 {
     const Timestamp later = this->begin + absl::Seconds(60);
-    this->view.noteAnswer(later, 5000);
-    this->view.noteLease(this->view.leaseEnd(later, lease));
+    this->view.recordAnswer(later, 5000);
+    this->view.recordLease(this->view.leaseEnd(later, lease));
     // A clock that is 2 % slow shows the lease's end 200 ms late.
-    CHECK_FALSE(this->view.leaseIsOver(later + lease + absl::Milliseconds(200)));
-    CHECK(this->view.leaseIsOver(later + lease + absl::Seconds(1)));
+    CHECK_FALSE(this->view.hasLeaseExpired(later + lease + absl::Milliseconds(200)));
+    CHECK(this->view.hasLeaseExpired(later + lease + absl::Seconds(1)));
 }
 
 TEST_CASE_METHOD(WorkerViewFixture, "leaseEnd_afterAnOlderReading_isNotShortened")
 {
-    this->view.noteAnswer(this->begin, 5000);
+    this->view.recordAnswer(this->begin, 5000);
     const std::int64_t end = this->view.leaseEnd(this->begin, lease);
-    this->view.noteAnswer(this->begin + absl::Milliseconds(10), 4990);
+    this->view.recordAnswer(this->begin + absl::Milliseconds(10), 4990);
     CHECK(this->view.leaseEnd(this->begin + absl::Milliseconds(10), lease) >= end);
 }
 
 TEST_CASE_METHOD(WorkerViewFixture, "suspicion_afterFailuresInARow_endsAndDoubles")
 {
-    this->view.noteFailedRun(this->begin);
+    this->view.recordFailedRun(this->begin);
     const Duration first = this->view.suspectUntil - this->begin;
-    this->view.noteFailedRun(this->begin);
+    this->view.recordFailedRun(this->begin);
     CHECK(this->view.suspectUntil - this->begin == 2 * first);
     for (int failure = 0; failure < 40; ++failure) {
-        this->view.noteFailedRun(this->begin);
+        this->view.recordFailedRun(this->begin);
     }
     CHECK(this->view.suspectUntil - this->begin < absl::Seconds(20));
-    this->view.noteDoneRun();
-    CHECK(this->view.failedInRow == 0);
+    this->view.recordDoneRun();
+    CHECK(this->view.consecutiveFailures == 0);
 }
 
 TEST_CASE_METHOD(WorkerViewFixture, "isMinority_withHalfOfTheViewsOrMore_isFalse")
 {
-    const auto isSilent = [](const WorkerView &candidate) { return candidate.isSilent(); };
+    const auto isSilent = [](const WorkerView &candidate) { return candidate.isUnresponsive(); };
     WorkerViews views;
     for (const char *id : {"w1", "w2", "w3", "w4"}) {
         views.try_emplace({id}, this->begin, lease);
     }
-    views.at({"w1"}).noteSilence(this->begin);
+    views.at({"w1"}).recordFailedCall(this->begin);
     CHECK(isMinority(views, isSilent));
-    views.at({"w2"}).noteSilence(this->begin);
+    views.at({"w2"}).recordFailedCall(this->begin);
     CHECK_FALSE(isMinority(views, isSilent));
 }
 
