--- a/paddlepier/http/httpclient.cpp
+++ b/paddlepier/http/httpclient.cpp
@@ -85,10 +85,10 @@
 std::size_t onBody(char *data, std::size_t size, std::size_t count, void *context)
 {
     auto *transfer = static_cast<Transfer *>(context);
-    if (transfer->result.answer.body.size() + size * count > mostAnswerBytes) {
+    if (transfer->result.response.body.size() + size * count > mostAnswerBytes) {
         return 0;
     }
-    transfer->result.answer.body.append(data, size * count);
+    transfer->result.response.body.append(data, size * count);
     return size * count;
 }
 
@@ -98,7 +98,7 @@
     const absl::string_view line(data, size * count);
     const std::size_t colon = line.find(':');
     if (absl::StartsWith(line, "HTTP/")) {
-        transfer->result.answer.headers.clear();
+        transfer->result.response.headers.clear();
         transfer->hasLength = false;
         transfer->isChunked = false;
     } else if (colon != absl::string_view::npos) {
@@ -106,7 +106,7 @@
         const auto value = absl::StripAsciiWhitespace(line.substr(colon + 1));
         transfer->hasLength = transfer->hasLength || absl::EqualsIgnoreCase(name, "Content-Length");
         transfer->isChunked = transfer->isChunked || (absl::EqualsIgnoreCase(name, "Transfer-Encoding") && absl::EqualsIgnoreCase(value, "chunked"));
-        transfer->result.answer.headers.emplace_back(std::string(name), std::string(value));
+        transfer->result.response.headers.emplace_back(std::string(name), std::string(value));
     }
     return size * count;
 }
@@ -116,7 +116,7 @@
 {
     auto *transfer = static_cast<Transfer *>(context);
     const bool isFirst = transfer->sendings == 0;
-    if (!isFirst && !transfer->request.mayBeRepeated) {
+    if (!isFirst && !transfer->request.isIdempotent) {
         return CURL_PREREQFUNC_ABORT;
     }
     ++transfer->sendings;
@@ -131,13 +131,13 @@
 
 int onOpened(void *context, curl_socket_t socket, curlsocktype)
 {
-    static_cast<TransferSockets *>(context)->prepare(socket);
+    static_cast<TransferSockets *>(context)->setSocketOptions(socket);
     return CURL_SOCKOPT_OK;
 }
 
 int onClosing(void *context, curl_socket_t socket)
 {
-    static_cast<TransferSockets *>(context)->forget(socket);
+    static_cast<TransferSockets *>(context)->remove(socket);
     return ::close(socket);
 }
 
@@ -202,15 +202,15 @@
     long status = 0;
     curl_easy_getinfo(transfer.handle, CURLINFO_RESPONSE_CODE, &status);
     TransferResult result = std::move(transfer.result);
-    result.answer.status = static_cast<int>(status);
+    result.response.status = static_cast<int>(status);
     // An answer that ends with its connection can't be told from one that was cut short.
     const bool hasProvenEnd = transfer.hasLength || transfer.isChunked || status == noContentStatus;
-    result.whole = code == CURLE_OK && status != 0 && hasProvenEnd;
+    result.isComplete = code == CURLE_OK && status != 0 && hasProvenEnd;
     result.nothingSent = code != CURLE_OK && transfer.sendings == 0;
     if (code != CURLE_OK) {
-        result.problem = curl_easy_strerror(code);
-    } else if (!result.whole) {
-        result.problem = "the answer has no stated length";
+        result.error = curl_easy_strerror(code);
+    } else if (!result.isComplete) {
+        result.error = "the answer has no stated length";
     }
     return result;
 }
@@ -273,7 +273,7 @@
 {
     TransferSockets &sockets = static_cast<Implementation *>(self)->sockets;
     if (what == CURL_POLL_REMOVE) {
-        sockets.rest(socket);
+        sockets.markIdle(socket);
         return 0;
     }
     Transfer *transfer = nullptr;
@@ -337,7 +337,7 @@
 {
     curl_socket_t socket = CURL_SOCKET_BAD;
     if (curl_easy_getinfo(handle, CURLINFO_ACTIVESOCKET, &socket) == CURLE_OK && socket != CURL_SOCKET_BAD) {
-        this->sockets.rest(socket);
+        this->sockets.markIdle(socket);
     }
 }
 
@@ -370,7 +370,7 @@
 void TransferPool::Implementation::finish(std::unique_ptr<Transfer> transfer, CURLcode code)
 {
     if (code == CURLE_OPERATION_TIMEDOUT) {
-        this->sockets.retire(transfer->address(), transfer->began);
+        this->sockets.shutDownIdle(transfer->address(), transfer->began);
     }
     TransferResult result = conclude(*transfer, code);
     const Done done = std::move(transfer->done);
@@ -388,12 +388,12 @@
 
 TransferPool::~TransferPool() = default;
 
-void TransferPool::setConnectionsPerHost(std::uint32_t connections)
+void TransferPool::setMaxConnectionsPerHost(std::uint32_t connections)
 {
     curl_multi_setopt(this->implementation->multi, CURLMOPT_MAX_HOST_CONNECTIONS, static_cast<long>(connections));
 }
 
-void TransferPool::setKeptConnections(std::uint32_t connections)
+void TransferPool::setMaxIdleConnections(std::uint32_t connections)
 {
     curl_multi_setopt(this->implementation->multi, CURLMOPT_MAXCONNECTS, static_cast<long>(connections));
 }
@@ -416,7 +416,7 @@
 {
     this->implementation->serve(patience);
     std::vector<Implementation::Ended> ended = this->implementation->takeEnded();
-    this->implementation->takeLate(this->implementation->sockets.seenUntil(), ended);
+    this->implementation->takeLate(this->implementation->sockets.eventsReportedUntil(), ended);
     for (auto &[transfer, code] : ended) {
         this->implementation->finish(std::move(transfer), code);
     }
--- a/paddlepier/http/httpclient.h
+++ b/paddlepier/http/httpclient.h
@@ -39,16 +39,16 @@
     /** False: the request must reach the other side at most once. */
     bool mayReuseConnection = true;
     /** It may be sent again over another connection where a kept one is closed without an answer: its effect is the same. */
-    bool mayBeRepeated = false;
+    bool isIdempotent = false;
 };
 
 struct TransferResult {
     /** The whole answer came. */
-    bool whole = false;
+    bool isComplete = false;
     /** The request can't have reached the other side. */
     bool nothingSent = false;
-    std::string problem;
-    Answer answer;
+    std::string error;
+    Response response;
 };
 
 /** Transfers under way; an event costs O(log n) for n open transfers, and an open one without events costs nothing. */
@@ -73,10 +73,10 @@
     void wake();
 
     /** Bound on connections to one host, kept ones included. */
-    void setConnectionsPerHost(std::uint32_t connections);
+    void setMaxConnectionsPerHost(std::uint32_t connections);
 
     /** Bound on connections that are kept open for later transfers. */
-    void setKeptConnections(std::uint32_t connections);
+    void setMaxIdleConnections(std::uint32_t connections);
 
 private:
     struct Implementation;
--- a/paddlepier/http/httpclient_benchmark.cpp
+++ b/paddlepier/http/httpclient_benchmark.cpp
@@ -28,7 +28,7 @@
         limits.connections = 4000;
         this->server = std::make_unique<HttpServer>(Endpoint{"0.0.0.0", port}, limits, [this](const std::shared_ptr<Exchange> &exchange) {
             if (exchange->request().path == "/short") {
-                exchange->answer({200, {}, exchange->request().body});
+                exchange->respond({200, {}, exchange->request().body});
                 return;
             }
             const absl::MutexLock lock(&this->mutex);
@@ -46,7 +46,7 @@
     {
         const absl::MutexLock lock(&this->mutex);
         for (const std::shared_ptr<Exchange> &exchange : this->held) {
-            exchange->answer({200, {}, "end"});
+            exchange->respond({200, {}, "end"});
         }
         this->held.clear();
     }
@@ -72,8 +72,8 @@
     const auto workers = static_cast<std::size_t>(state.range(0));
     Server server;
     TransferPool pool;
-    pool.setKeptConnections(4000);
-    pool.setConnectionsPerHost(16);
+    pool.setMaxIdleConnections(4000);
+    pool.setMaxConnectionsPerHost(16);
     std::size_t longCalls = workers;
     for (std::size_t worker = 0; worker < workers; ++worker) {
         pool.start(callTo(worker, "/long"), [&longCalls](const TransferResult &) { --longCalls; });
@@ -85,7 +85,7 @@
     for ([[maybe_unused]] const auto step : state) {
         std::size_t open = shortCallsAtOnce;
         for (std::size_t call = 0; call < shortCallsAtOnce; ++call) {
-            pool.start(callTo(next++ % workers, "/short"), [&open](const TransferResult &result) { open -= result.whole ? 1 : 0; });
+            pool.start(callTo(next++ % workers, "/short"), [&open](const TransferResult &result) { open -= result.isComplete ? 1 : 0; });
         }
         while (open > 0) {
             pool.run(absl::Milliseconds(100));
--- a/paddlepier/http/httpclient_test.cpp
+++ b/paddlepier/http/httpclient_test.cpp
@@ -186,7 +186,7 @@
         request.timeout = timeout;
         request.mayReuseConnection = mayReuse;
         this->pool.start(request, [&results, body = request.body](TransferResult result) {
-            CHECK((!result.whole || result.answer.body == body));
+            CHECK((!result.isComplete || result.response.body == body));
             results.push_back(std::move(result));
         });
     }
@@ -240,42 +240,42 @@
 TEST_CASE_METHOD(TransferPoolFixture, "call_answered_isWhole")
 {
     const TransferResult result = this->call("/echo");
-    CHECK(result.whole);
-    CHECK(result.problem.empty());
-    CHECK(result.answer.status == 200);
-    CHECK(result.answer.header("x-echo") == "yes");
-    CHECK(result.answer.body == "body-1");
+    CHECK(result.isComplete);
+    CHECK(result.error.empty());
+    CHECK(result.response.status == 200);
+    CHECK(result.response.header("x-echo") == "yes");
+    CHECK(result.response.body == "body-1");
 }
 
 TEST_CASE_METHOD(TransferPoolFixture, "calls_oneAfterTheOther_shareAConnection")
 {
     for (int number = 0; number < 20; ++number) {
-        CHECK(this->call("/echo").whole);
+        CHECK(this->call("/echo").isComplete);
     }
     CHECK(this->server.acceptedConnections() == 1);
 }
 
 TEST_CASE_METHOD(TransferPoolFixture, "call_atMostOnce_hasAConnectionOfItsOwn")
 {
-    CHECK(this->call("/echo").whole);
-    CHECK(this->call("/echo", longTimeout, false).whole);
+    CHECK(this->call("/echo").isComplete);
+    CHECK(this->call("/echo", longTimeout, false).isComplete);
     CHECK(this->server.acceptedConnections() == 2);
-    CHECK(this->call("/echo").whole);
+    CHECK(this->call("/echo").isComplete);
     CHECK(this->server.acceptedConnections() == 2);
 }
 
 TEST_CASE_METHOD(TransferPoolFixture, "method_afterAnotherRequestOnTheSameHandle_isItsOwn")
 {
-    CHECK(this->call("/echo").whole);
+    CHECK(this->call("/echo").isComplete);
     std::vector<TransferResult> results;
     OutgoingRequest request;
     request.method = "GET";
     request.url = this->server.url("/echo");
     this->pool.start(request, [&results](TransferResult result) { results.push_back(std::move(result)); });
     this->runUntil([&] { return !results.empty(); });
-    CHECK(results.front().whole);
-    CHECK(results.front().answer.body.empty());
-    CHECK(this->call("/echo").answer.body == "body-2");
+    CHECK(results.front().isComplete);
+    CHECK(results.front().response.body.empty());
+    CHECK(this->call("/echo").response.body == "body-2");
 }
 
 TEST_CASE_METHOD(TransferPoolFixture, "shortCalls_amongManyOpenOnes_areAnswered")
@@ -287,52 +287,52 @@
     }
     this->runUntil([&] { return this->server.heldRequests() == static_cast<int>(openCalls); });
     for (int number = 0; number < 50; ++number) {
-        CHECK(this->call("/echo").whole);
+        CHECK(this->call("/echo").isComplete);
     }
     CHECK(held.empty());
     CHECK(this->server.acceptedConnections() == static_cast<int>(openCalls) + 1);
     this->server.hold(false);
     this->runUntil([&] { return held.size() == openCalls; });
-    CHECK(std::all_of(held.begin(), held.end(), [](const TransferResult &result) { return result.whole; }));
+    CHECK(std::all_of(held.begin(), held.end(), [](const TransferResult &result) { return result.isComplete; }));
 }
 
 TEST_CASE_METHOD(TransferPoolFixture, "calls_beyondTheBoundOfAHost_waitAndAreAnswered")
 {
-    this->pool.setConnectionsPerHost(2);
+    this->pool.setMaxConnectionsPerHost(2);
     std::vector<TransferResult> results;
     for (int number = 0; number < 10; ++number) {
         this->start("/echo", results);
     }
     this->runUntil([&] { return results.size() == 10; });
-    CHECK(std::all_of(results.begin(), results.end(), [](const TransferResult &result) { return result.whole; }));
+    CHECK(std::all_of(results.begin(), results.end(), [](const TransferResult &result) { return result.isComplete; }));
     CHECK(this->server.acceptedConnections() <= 2);
 }
 
 TEST_CASE_METHOD(TransferPoolFixture, "call_thatGetsNoConnectionInTime_hasSentNothing")
 {
-    this->pool.setConnectionsPerHost(1);
-    CHECK(this->call("/echo").whole);
+    this->pool.setMaxConnectionsPerHost(1);
+    CHECK(this->call("/echo").isComplete);
     std::vector<TransferResult> held;
     this->start("/hold", held);
     this->runUntil([&] { return this->server.heldRequests() == 1; });
     const TransferResult late = this->call("/echo", shortTimeout);
-    CHECK(!late.whole);
+    CHECK(!late.isComplete);
     CHECK(late.nothingSent);
     this->server.hold(false);
     this->runUntil([&] { return !held.empty(); });
-    CHECK(held.front().whole);
-    CHECK(this->call("/echo").whole);
+    CHECK(held.front().isComplete);
+    CHECK(this->call("/echo").isComplete);
     CHECK(this->server.acceptedConnections() == 1);
 }
 
 TEST_CASE_METHOD(TransferPoolFixture, "connection_ofACallThatTimedOut_isNotUsedAgain")
 {
-    CHECK(this->call("/echo").whole);
+    CHECK(this->call("/echo").isComplete);
     const TransferResult late = this->call("/never", shortTimeout);
-    CHECK(!late.whole);
+    CHECK(!late.isComplete);
     CHECK(!late.nothingSent);
     CHECK(this->server.acceptedConnections() == 1);
-    CHECK(this->call("/echo").whole);
+    CHECK(this->call("/echo").isComplete);
     CHECK(this->server.acceptedConnections() == 2);
 }
 
@@ -346,7 +346,7 @@
     REQUIRE(testing::waitUntil([&] { return this->server.heldRequests() == 0; }));
     absl::SleepFor(shortTimeout * 2);
     this->runUntil([&] { return !results.empty(); });
-    CHECK(results.front().whole);
+    CHECK(results.front().isComplete);
     CHECK(this->server.acceptedConnections() == 1);
 }
 
@@ -355,13 +355,13 @@
     constexpr int kept = 4;
     this->openConnections(kept);
     this->server.silenceOpen();
-    CHECK(!this->call("/echo", shortTimeout).whole);
+    CHECK(!this->call("/echo", shortTimeout).isComplete);
     std::vector<TransferResult> results;
     for (int number = 0; number < kept; ++number) {
         this->start("/echo", results);
     }
     this->runUntil([&] { return results.size() == kept; });
-    CHECK(std::all_of(results.begin(), results.end(), [](const TransferResult &result) { return result.whole; }));
+    CHECK(std::all_of(results.begin(), results.end(), [](const TransferResult &result) { return result.isComplete; }));
     CHECK(this->server.acceptedConnections() > kept);
 }
 
@@ -370,11 +370,11 @@
     this->openConnections(2);
     std::vector<TransferResult> late;
     this->start("/never", late, absl::Milliseconds(300));
-    CHECK(this->call("/echo").whole);
+    CHECK(this->call("/echo").isComplete);
     REQUIRE(late.empty());
     this->runUntil([&] { return !late.empty(); });
-    CHECK(!late.front().whole);
-    CHECK(this->call("/echo").whole);
+    CHECK(!late.front().isComplete);
+    CHECK(this->call("/echo").isComplete);
     CHECK(this->server.acceptedConnections() == 2);
 }
 
@@ -383,10 +383,10 @@
     std::vector<TransferResult> held;
     this->start("/hold", held);
     this->runUntil([&] { return this->server.heldRequests() == 1; });
-    CHECK(!this->call("/never", shortTimeout).whole);
+    CHECK(!this->call("/never", shortTimeout).isComplete);
     this->server.hold(false);
     this->runUntil([&] { return !held.empty(); });
-    CHECK(held.front().whole);
+    CHECK(held.front().isComplete);
 }
 
 TEST_CASE_METHOD(TransferPoolFixture, "call_refused_hasSentNothing")
@@ -397,9 +397,9 @@
         std::vector<TransferResult> results;
         this->pool.start(request, [&results](TransferResult result) { results.push_back(std::move(result)); });
         this->runUntil([&] { return !results.empty(); });
-        CHECK(!results.front().whole);
+        CHECK(!results.front().isComplete);
         CHECK(results.front().nothingSent);
-        CHECK(this->call("/echo").whole);
+        CHECK(this->call("/echo").isComplete);
     }
     CHECK(this->server.acceptedConnections() == 1);
 }
@@ -411,7 +411,7 @@
     request.url = this->server.url("/echo");
     this->pool.start(request, [&](const TransferResult &) { this->start("/echo", results); });
     this->runUntil([&] { return !results.empty(); });
-    CHECK(results.front().whole);
+    CHECK(results.front().isComplete);
 }
 
 TEST_CASE_METHOD(TransferPoolFixture, "wake_fromAnotherThread_endsRun")
@@ -441,7 +441,7 @@
 {
     TransferSockets sockets;
     const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    sockets.prepare(socket);
+    sockets.setSocketOptions(socket);
     CHECK(optionOf(socket, SOL_SOCKET, SO_KEEPALIVE) == 1);
     CHECK(optionOf(socket, IPPROTO_TCP, TCP_KEEPIDLE) <= 3);
     CHECK(optionOf(socket, IPPROTO_TCP, TCP_KEEPINTVL) <= 3);
--- a/paddlepier/http/httpserver.cpp
+++ b/paddlepier/http/httpserver.cpp
@@ -30,7 +30,7 @@
 }
 
 /** Not 503: whether the request takes effect isn't known here. */
-Answer outcomeUnknown()
+Response outcomeUnknown()
 {
     return {504, {{"Content-Type", "application/json"}, {"Retry-After", "1"}}, "{\"error\":\"Timeout\",\"message\":\"stopping; the outcome is not known\"}"};
 }
@@ -52,20 +52,20 @@
     return findHeader(this->headers, name);
 }
 
-std::string_view Answer::header(std::string_view name) const
+std::string_view Response::header(std::string_view name) const
 {
     return findHeader(this->headers, name);
 }
 
-void Exchange::answer(Answer answer)
+void Exchange::respond(Response answer)
 {
     const absl::MutexLock lock(&this->mutex);
-    if (this->reply) {
+    if (this->response) {
         return;
     }
-    this->reply = std::move(answer);
-    if (this->suspended) {
-        this->suspended = false;
+    this->response = std::move(answer);
+    if (this->isSuspended) {
+        this->isSuspended = false;
         MHD_resume_connection(this->connection);
     }
 }
@@ -81,8 +81,8 @@
     static void *onRequestLine(void *self, const char *target, MHD_Connection *)
     {
         auto exchange = std::make_shared<Exchange>();
-        exchange->received.target = target;
-        ++static_cast<HttpServer *>(self)->active;
+        exchange->receivedRequest.target = target;
+        ++static_cast<HttpServer *>(self)->activeCount;
         return new std::shared_ptr<Exchange>(std::move(exchange));
     }
 
@@ -92,11 +92,11 @@
             auto *server = static_cast<HttpServer *>(self);
             {
                 const absl::MutexLock lock(&server->mutex);
-                server->suspended.erase(*static_cast<std::shared_ptr<Exchange> *>(*context));
+                server->suspendedExchanges.erase(*static_cast<std::shared_ptr<Exchange> *>(*context));
             }
             delete static_cast<std::shared_ptr<Exchange> *>(*context);
             *context = nullptr;
-            --server->active;
+            --server->activeCount;
         }
     }
 
@@ -108,8 +108,8 @@
     }
 };
 
-HttpServer::HttpServer(const Endpoint &endpoint, const LimitSettings &limits, Handler requestHandler)
-    : bounds(limits)
+HttpServer::HttpServer(const Endpoint &endpoint, const LimitSettings &limitSettings, Handler requestHandler)
+    : limits(limitSettings)
     , handler(std::move(requestHandler))
 {
     const SocketAddress address = toSocketAddress(endpoint);
@@ -133,11 +133,11 @@
                                     &Callbacks::onCompleted,
                                     this,
                                     MHD_OPTION_THREAD_POOL_SIZE,
-                                    static_cast<unsigned int>(limits.trafficThreads),
+                                    static_cast<unsigned int>(limitSettings.trafficThreads),
                                     MHD_OPTION_CONNECTION_LIMIT,
-                                    static_cast<unsigned int>(limits.connections),
+                                    static_cast<unsigned int>(limitSettings.connections),
                                     MHD_OPTION_CONNECTION_TIMEOUT,
-                                    static_cast<unsigned int>(absl::ToInt64Seconds(limits.connectionIdle)),
+                                    static_cast<unsigned int>(absl::ToInt64Seconds(limitSettings.connectionIdle)),
                                     MHD_OPTION_CONNECTION_MEMORY_LIMIT,
                                     headerBytes,
                                     MHD_OPTION_LISTENING_ADDRESS_REUSE,
@@ -153,9 +153,9 @@
     this->stop(absl::ZeroDuration());
 }
 
-void HttpServer::closeAfterAnswers()
+void HttpServer::closeConnectionsAfterResponses()
 {
-    this->stopping = true;
+    this->isStopping = true;
 }
 
 void HttpServer::stop(Duration patience)
@@ -163,13 +163,13 @@
     if (this->daemon == nullptr) {
         return;
     }
-    this->stopping = true;
+    this->isStopping = true;
     const MHD_socket listener = MHD_quiesce_daemon(this->daemon);
     if (listener != MHD_INVALID_SOCKET) {
         ::close(listener);
     }
     this->waitForExchanges(patience);
-    this->refuseSuspended();
+    this->rejectSuspended();
     MHD_stop_daemon(this->daemon);
     this->daemon = nullptr;
 }
@@ -177,63 +177,63 @@
 void HttpServer::waitForExchanges(Duration patience) const
 {
     const Timestamp end = controlNow() + patience;
-    while (this->active > 0 && controlNow() < end) {
+    while (this->activeCount > 0 && controlNow() < end) {
         absl::SleepFor(absl::Milliseconds(5));
     }
 }
 
-void HttpServer::refuseSuspended()
+void HttpServer::rejectSuspended()
 {
     // Longest time in which the library sends answers that are ready.
     constexpr Duration sendPatience = absl::Milliseconds(200);
     std::set<std::shared_ptr<Exchange>> left;
     {
         const absl::MutexLock lock(&this->mutex);
-        left = this->suspended;
-        this->refusing = true;
+        left = this->suspendedExchanges;
+        this->isRejecting = true;
     }
     if (left.empty()) {
         return;
     }
     log::warning("http", "exchanges.refused", {{"count", left.size()}});
     for (const std::shared_ptr<Exchange> &exchange : left) {
-        exchange->answer(outcomeUnknown());
+        exchange->respond(outcomeUnknown());
     }
     this->waitForExchanges(sendPatience);
 }
 
 std::int64_t HttpServer::activeExchanges() const
 {
-    return this->active;
+    return this->activeCount;
 }
 
 int HttpServer::onData(MHD_Connection *connection, const char *url, const char *method, const char *data, std::size_t *size, void **context)
 {
     const std::shared_ptr<Exchange> exchange = *static_cast<std::shared_ptr<Exchange> *>(*context);
-    if (!exchange->begun) {
-        exchange->begun = true;
+    if (!exchange->hasHeaders) {
+        exchange->hasHeaders = true;
         exchange->connection = connection;
-        exchange->received.method = method;
-        exchange->received.path = url;
-        MHD_get_connection_values(connection, MHD_HEADER_KIND, &collectHeader, &exchange->received.headers);
+        exchange->receivedRequest.method = method;
+        exchange->receivedRequest.path = url;
+        MHD_get_connection_values(connection, MHD_HEADER_KIND, &collectHeader, &exchange->receivedRequest.headers);
         return MHD_YES;
     }
     if (*size > 0) {
-        exchange->tooLarge = exchange->tooLarge || exchange->received.body.size() + *size > this->bounds.bodyBytes;
-        if (!exchange->tooLarge) {
-            exchange->received.body.append(data, *size);
+        exchange->isBodyTooLarge = exchange->isBodyTooLarge || exchange->receivedRequest.body.size() + *size > this->limits.bodyBytes;
+        if (!exchange->isBodyTooLarge) {
+            exchange->receivedRequest.body.append(data, *size);
         }
         *size = 0;
         return MHD_YES;
     }
-    if (!exchange->dispatched) {
-        exchange->dispatched = true;
+    if (!exchange->isDispatched) {
+        exchange->isDispatched = true;
         this->dispatch(exchange);
-        if (this->suspendUnlessAnswered(exchange)) {
+        if (this->suspendUnlessResponded(exchange)) {
             return MHD_YES;
         }
     }
-    return this->queueAnswer(*exchange);
+    return this->queueResponse(*exchange);
 }
 
 void HttpServer::dispatch(const std::shared_ptr<Exchange> &exchange)
@@ -241,48 +241,48 @@
     bool isRefused = false;
     {
         const absl::MutexLock lock(&this->mutex);
-        isRefused = this->refusing;
+        isRefused = this->isRejecting;
     }
-    if (exchange->tooLarge) {
-        exchange->answer({413, {{"Content-Type", "application/json"}}, "{\"error\":\"BodyTooLarge\",\"message\":\"the body is over the limit\"}"});
+    if (exchange->isBodyTooLarge) {
+        exchange->respond({413, {{"Content-Type", "application/json"}}, "{\"error\":\"BodyTooLarge\",\"message\":\"the body is over the limit\"}"});
     } else if (isRefused) {
-        exchange->answer({503, {{"Content-Type", "application/json"}, {"Retry-After", "1"}}, "{\"error\":\"Stopping\",\"message\":\"stopping; not taken\"}"});
+        exchange->respond({503, {{"Content-Type", "application/json"}, {"Retry-After", "1"}}, "{\"error\":\"Stopping\",\"message\":\"stopping; not taken\"}"});
     } else {
         this->handler(exchange);
     }
 }
 
-bool HttpServer::suspendUnlessAnswered(const std::shared_ptr<Exchange> &exchange)
+bool HttpServer::suspendUnlessResponded(const std::shared_ptr<Exchange> &exchange)
 {
     const absl::MutexLock lock(&exchange->mutex);
-    if (exchange->reply) {
+    if (exchange->response) {
         return false;
     }
     {
         const absl::MutexLock ownLock(&this->mutex);
-        if (this->refusing) {
-            exchange->reply = outcomeUnknown();
+        if (this->isRejecting) {
+            exchange->response = outcomeUnknown();
             return false;
         }
-        this->suspended.insert(exchange);
+        this->suspendedExchanges.insert(exchange);
     }
-    exchange->suspended = true;
+    exchange->isSuspended = true;
     MHD_suspend_connection(exchange->connection);
     return true;
 }
 
-int HttpServer::queueAnswer(Exchange &exchange)
+int HttpServer::queueResponse(Exchange &exchange)
 {
     const absl::MutexLock lock(&exchange.mutex);
-    if (!exchange.reply) {
+    if (!exchange.response) {
         return MHD_YES;
     }
-    const Answer &answer = *exchange.reply;
+    const Response &answer = *exchange.response;
     MHD_Response *response = MHD_create_response_from_buffer(answer.body.size(), const_cast<char *>(answer.body.data()), MHD_RESPMEM_MUST_COPY);
     for (const auto &[name, value] : answer.headers) {
         MHD_add_response_header(response, name.c_str(), value.c_str());
     }
-    if (this->stopping) {
+    if (this->isStopping) {
         MHD_add_response_header(response, MHD_HTTP_HEADER_CONNECTION, "close");
     }
     const MHD_Result queued = MHD_queue_response(exchange.connection, static_cast<unsigned int>(answer.status), response);
--- a/paddlepier/http/httpserver.h
+++ b/paddlepier/http/httpserver.h
@@ -49,7 +49,7 @@
     std::string_view header(std::string_view name) const;
 };
 
-struct Answer {
+struct Response {
     int status = 200;
     Headers headers;
     std::string body;
@@ -66,23 +66,23 @@
 public:
     const Request &request() const
     {
-        return this->received;
+        return this->receivedRequest;
     }
 
     /** Answers the request; every call but the first is ignored. */
-    void answer(Answer answer);
+    void respond(Response answer);
 
 private:
     friend class HttpServer;
 
-    Request received;
-    bool begun = false;
-    bool tooLarge = false;
-    bool dispatched = false;
+    Request receivedRequest;
+    bool hasHeaders = false;
+    bool isBodyTooLarge = false;
+    bool isDispatched = false;
     MHD_Connection *connection = nullptr;
     absl::Mutex mutex;
-    std::optional<Answer> reply ABSL_GUARDED_BY(mutex);
-    bool suspended ABSL_GUARDED_BY(mutex) = false;
+    std::optional<Response> response ABSL_GUARDED_BY(mutex);
+    bool isSuspended ABSL_GUARDED_BY(mutex) = false;
 };
 
 class HttpServer
@@ -91,14 +91,14 @@
     using Handler = std::function<void(const std::shared_ptr<Exchange> &)>;
 
     /** @throws InvalidSettingsError if the address can't be listened on */
-    HttpServer(const Endpoint &endpoint, const LimitSettings &limits, Handler requestHandler);
+    HttpServer(const Endpoint &endpoint, const LimitSettings &limitSettings, Handler requestHandler);
     ~HttpServer();
 
     HttpServer(const HttpServer &) = delete;
     HttpServer &operator=(const HttpServer &) = delete;
 
     /** From now on every answer closes its connection, so that callers go elsewhere before stop(). */
-    void closeAfterAnswers();
+    void closeConnectionsAfterResponses();
 
     /** Refuses new connections, waits up to @p patience for exchanges under way, answers the rest with 504, then closes. */
     void stop(Duration patience);
@@ -112,21 +112,21 @@
     int onData(MHD_Connection *connection, const char *url, const char *method, const char *data, std::size_t *size, void **context);
     void dispatch(const std::shared_ptr<Exchange> &exchange);
     /** @return true if the connection waits now for its answer */
-    bool suspendUnlessAnswered(const std::shared_ptr<Exchange> &exchange);
-    int queueAnswer(Exchange &exchange);
+    bool suspendUnlessResponded(const std::shared_ptr<Exchange> &exchange);
+    int queueResponse(Exchange &exchange);
     void waitForExchanges(Duration patience) const;
-    void refuseSuspended();
+    void rejectSuspended();
 
-    const LimitSettings bounds;
+    const LimitSettings limits;
     const Handler handler;
-    std::atomic<std::int64_t> active{0};
-    std::atomic<bool> stopping{false};
+    std::atomic<std::int64_t> activeCount{0};
+    std::atomic<bool> isStopping{false};
     MHD_Daemon *daemon = nullptr;
     absl::Mutex mutex;
     // Invariant: holds every exchange whose connection is suspended; the library must not be stopped while there is one.
-    std::set<std::shared_ptr<Exchange>> suspended ABSL_GUARDED_BY(mutex);
+    std::set<std::shared_ptr<Exchange>> suspendedExchanges ABSL_GUARDED_BY(mutex);
     /** No further exchange may wait for its answer: those that did have been refused, and nobody would refuse it. */
-    bool refusing ABSL_GUARDED_BY(mutex) = false;
+    bool isRejecting ABSL_GUARDED_BY(mutex) = false;
 };
 
 } // namespace paddlepier::http
--- a/paddlepier/http/httpserver_test.cpp
+++ b/paddlepier/http/httpserver_test.cpp
@@ -59,9 +59,9 @@
     REQUIRE(testing::waitUntil([this] { return this->heldExchanges() == 1; }));
     this->server->stop(absl::Milliseconds(50));
     caller.join();
-    CHECK(result.whole);
-    CHECK(result.answer.status == 504);
-    CHECK(result.answer.header("Retry-After") == "1");
+    CHECK(result.isComplete);
+    CHECK(result.response.status == 504);
+    CHECK(result.response.header("Retry-After") == "1");
 }
 
 TEST_CASE_METHOD(HttpServerFixture, "request_readWhileTheServerStops_isRefusedAndNotRun")
--- a/paddlepier/http/repeatedrequest_test.cpp
+++ b/paddlepier/http/repeatedrequest_test.cpp
@@ -102,7 +102,7 @@
         OutgoingRequest request;
         request.url = absl::StrCat("http://", this->server.endpoint.text(), "/");
         request.body = std::string(body);
-        request.mayBeRepeated = mayBeRepeated;
+        request.isIdempotent = mayBeRepeated;
         std::optional<TransferResult> result;
         this->pool.start(std::move(request), [&result](TransferResult received) { result = std::move(received); });
         while (!result) {
@@ -119,17 +119,17 @@
 
 TEST_CASE_METHOD(RepeatedRequestFixture, "request_whoseKeptConnectionIsResetAfterItCame_isNotSentAgain")
 {
-    REQUIRE(this->call(false).whole);
+    REQUIRE(this->call(false).isComplete);
     const TransferResult result = this->call(false);
-    CHECK_FALSE(result.whole);
+    CHECK_FALSE(result.isComplete);
     CHECK_FALSE(result.nothingSent);
     CHECK(this->server.requests == 1);
 }
 
 TEST_CASE_METHOD(RepeatedRequestFixture, "requestThatMayBeRepeated_whoseKeptConnectionIsReset_isAnswered")
 {
-    REQUIRE(this->call(true).whole);
-    CHECK(this->call(true).whole);
+    REQUIRE(this->call(true).isComplete);
+    CHECK(this->call(true).isComplete);
     CHECK(this->server.requests == 2);
 }
 
--- a/paddlepier/http/transfersockets.cpp
+++ b/paddlepier/http/transfersockets.cpp
@@ -51,9 +51,9 @@
     ::close(this->wakeup);
 }
 
-void TransferSockets::prepare(int socket)
+void TransferSockets::setSocketOptions(int socket)
 {
-    this->forget(socket);
+    this->remove(socket);
     setOption(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
     setOption(socket, IPPROTO_TCP, TCP_KEEPIDLE, keepAliveIdleSeconds);
     setOption(socket, IPPROTO_TCP, TCP_KEEPINTVL, keepAliveIntervalSeconds);
@@ -63,32 +63,32 @@
 void TransferSockets::watch(int socket, const std::string &address, bool reads, bool writes)
 {
     auto [found, isNew] = this->sockets.try_emplace(socket);
-    Watched &watched = found->second;
+    WatchedSocket &watched = found->second;
     if (isNew) {
         watched.address = address;
         this->byAddress[address].push_back(socket);
     }
-    watched.wasOpen = watched.wasOpen || reads;
-    watched.restsSince = absl::InfiniteFuture();
+    watched.wasConnected = watched.wasConnected || reads;
+    watched.idleSince = absl::InfiniteFuture();
     this->setEvents(socket, watched, (reads ? EPOLLIN : 0U) | (writes ? EPOLLOUT : 0U));
 }
 
-void TransferSockets::rest(int socket)
+void TransferSockets::markIdle(int socket)
 {
     const auto found = this->sockets.find(socket);
     if (found == this->sockets.end()) {
         return;
     }
-    if (found->second.wasOpen) {
-        found->second.restsSince = controlNow();
+    if (found->second.wasConnected) {
+        found->second.idleSince = controlNow();
         return;
     }
     // Perhaps a failed attempt to connect, closed without a word: its number may soon be another's.
     this->setEvents(socket, found->second, 0);
-    this->forget(socket);
+    this->remove(socket);
 }
 
-void TransferSockets::forget(int socket)
+void TransferSockets::remove(int socket)
 {
     const auto found = this->sockets.find(socket);
     if (found == this->sockets.end()) {
@@ -102,7 +102,7 @@
     this->sockets.erase(found);
 }
 
-void TransferSockets::setEvents(int socket, Watched &watched, std::uint32_t events)
+void TransferSockets::setEvents(int socket, WatchedSocket &watched, std::uint32_t events)
 {
     if (watched.events == events) {
         return;
@@ -117,14 +117,14 @@
 
 const std::vector<TransferSockets::Event> &TransferSockets::wait(Duration patience)
 {
-    this->happened.clear();
+    this->readyEvents.clear();
     std::array<epoll_event, eventsAtOnce> events{};
     const auto millis = static_cast<int>(absl::ToInt64Milliseconds(absl::Ceil(patience, absl::Milliseconds(1))));
-    if (this->fullWaits == 0) {
-        this->firstWaitBegan = controlNow();
+    if (this->incompleteWaits == 0) {
+        this->firstIncompleteWait = controlNow();
     }
     const int count = ::epoll_wait(this->epoll, events.data(), static_cast<int>(events.size()), millis);
-    this->noteSeen(static_cast<std::size_t>(std::max(0, count)));
+    this->updateReportedUntil(static_cast<std::size_t>(std::max(0, count)));
     for (int index = 0; index < count; ++index) {
         const epoll_event &event = events[static_cast<std::size_t>(index)];
         const int socket = event.data.fd;
@@ -133,52 +133,52 @@
             [[maybe_unused]] const ssize_t size = ::read(this->wakeup, &value, sizeof(value));
             // Only after the descriptor was read: one who writes in between would have its write read and its mark stay, and no
             // later call would ever write again. One who finds the mark still set comes before this wait's end.
-            this->isWoken = false;
+            this->isWakePending = false;
             continue;
         }
         const auto found = this->sockets.find(socket);
-        if (found != this->sockets.end() && found->second.restsSince != absl::InfiniteFuture()) {
+        if (found != this->sockets.end() && found->second.idleSince != absl::InfiniteFuture()) {
             // The other side ended it, or asks for what nobody waits for: seen when the connection is next wanted.
             this->setEvents(socket, found->second, 0);
             continue;
         }
-        this->happened.push_back({socket, (event.events & EPOLLIN) != 0, (event.events & EPOLLOUT) != 0, (event.events & (EPOLLERR | EPOLLHUP)) != 0});
+        this->readyEvents.push_back({socket, (event.events & EPOLLIN) != 0, (event.events & EPOLLOUT) != 0, (event.events & (EPOLLERR | EPOLLHUP)) != 0});
     }
-    return this->happened;
+    return this->readyEvents;
 }
 
-void TransferSockets::noteSeen(std::size_t events)
+void TransferSockets::updateReportedUntil(std::size_t events)
 {
     // The system tells of ready sockets in turn, so that none is left out by waits for as many events as there are sockets.
-    ++this->fullWaits;
-    if (events < eventsAtOnce || this->fullWaits * eventsAtOnce > this->sockets.size()) {
-        this->seen = this->firstWaitBegan;
-        this->fullWaits = 0;
+    ++this->incompleteWaits;
+    if (events < eventsAtOnce || this->incompleteWaits * eventsAtOnce > this->sockets.size()) {
+        this->reportedUntil = this->firstIncompleteWait;
+        this->incompleteWaits = 0;
     }
 }
 
-Timestamp TransferSockets::seenUntil() const
+Timestamp TransferSockets::eventsReportedUntil() const
 {
-    return this->seen;
+    return this->reportedUntil;
 }
 
 void TransferSockets::wake()
 {
-    if (this->isWoken.exchange(true)) {
+    if (this->isWakePending.exchange(true)) {
         return;
     }
     const std::uint64_t one = 1;
     [[maybe_unused]] const ssize_t written = ::write(this->wakeup, &one, sizeof(one));
 }
 
-void TransferSockets::retire(const std::string &address, Timestamp since)
+void TransferSockets::shutDownIdle(const std::string &address, Timestamp since)
 {
     const auto found = this->byAddress.find(address);
     if (found == this->byAddress.end()) {
         return;
     }
     for (const int socket : found->second) {
-        if (this->sockets.at(socket).restsSince <= since) {
+        if (this->sockets.at(socket).idleSince <= since) {
             ::shutdown(socket, SHUT_RDWR);
         }
     }
--- a/paddlepier/http/transfersockets.h
+++ b/paddlepier/http/transfersockets.h
@@ -49,55 +49,55 @@
     TransferSockets &operator=(const TransferSockets &) = delete;
 
     /** Sets the options of a new socket: TCP probes it while it rests. */
-    void prepare(int socket);
+    void setSocketOptions(int socket);
 
     /** A call to @p address is under way at @p socket and waits to read, to write or for both. */
     void watch(int socket, const std::string &address, bool reads, bool writes);
 
     /** The call at @p socket has ended; it may be closed already if no connection was ever open there. */
-    void rest(int socket);
+    void markIdle(int socket);
 
     /** @p socket is about to be closed. */
-    void forget(int socket);
+    void remove(int socket);
 
     /** Waits up to @p patience for events of watched sockets or wake(). @return valid until the next call */
     const std::vector<Event> &wait(Duration patience);
 
     /** Whatever came at the sockets until then has been told by wait(). */
-    Timestamp seenUntil() const;
+    Timestamp eventsReportedUntil() const;
 
     /** Ends a wait, this one or the next; calls until then cost no system call. */
     void wake();
 
     /** Shuts connections to @p address down that have rested since before @p since. O(connections to the address). */
-    void retire(const std::string &address, Timestamp since);
+    void shutDownIdle(const std::string &address, Timestamp since);
 
 private:
-    struct Watched {
+    struct WatchedSocket {
         std::string address;
         /** A call waited for an answer there, so that forget() will tell of its end. */
-        bool wasOpen = false;
+        bool wasConnected = false;
         /** As registered; none if the socket isn't registered. */
         std::uint32_t events = 0;
         /** Infinite while a call is under way. */
-        Timestamp restsSince = absl::InfiniteFuture();
+        Timestamp idleSince = absl::InfiniteFuture();
     };
 
-    void noteSeen(std::size_t events);
-    void setEvents(int socket, Watched &watched, std::uint32_t events);
+    void updateReportedUntil(std::size_t events);
+    void setEvents(int socket, WatchedSocket &watched, std::uint32_t events);
 
     int epoll = -1;
     int wakeup = -1;
     /** wake() was called and no wait has ended by it yet. */
-    std::atomic<bool> isWoken{false};
-    absl::flat_hash_map<int, Watched> sockets;
+    std::atomic<bool> isWakePending{false};
+    absl::flat_hash_map<int, WatchedSocket> sockets;
     // Invariant: holds exactly the keys of `sockets`, by address.
     absl::flat_hash_map<std::string, std::vector<int>> byAddress;
-    std::vector<Event> happened;
+    std::vector<Event> readyEvents;
     /** Waits in a row that may have left events, and when the first of them began. */
-    std::size_t fullWaits = 0;
-    Timestamp firstWaitBegan;
-    Timestamp seen = absl::InfinitePast();
+    std::size_t incompleteWaits = 0;
+    Timestamp firstIncompleteWait;
+    Timestamp reportedUntil = absl::InfinitePast();
 };
 
 } // namespace paddlepier::http
--- a/paddlepier/instance/callrouter.cpp
+++ b/paddlepier/instance/callrouter.cpp
@@ -37,7 +37,7 @@
 
 std::size_t CallRouter::pendingCalls() const
 {
-    return this->pendings.size();
+    return this->pending.size();
 }
 
 void CallRouter::call(Timestamp now, const std::string &dataCentre, rpc::Method method, const Actor &actor, std::string body, Duration patience, CallDone done)
@@ -47,18 +47,18 @@
         return;
     }
     const std::uint64_t id = this->nextId++;
-    Pending pending;
+    PendingCall pending;
     pending.dataCentre = dataCentre;
     pending.method = method;
     pending.actor = actor;
     pending.body = std::move(body);
     pending.done = std::move(done);
     pending.deadline = now + patience;
-    this->pendings.emplace(id, std::move(pending));
+    this->pending.emplace(id, std::move(pending));
     this->attempt(now, id);
 }
 
-std::string CallRouter::chooseTarget(Pending &pending)
+std::string CallRouter::chooseTarget(PendingCall &pending)
 {
     // The own replica hears from its leader all the time; what was learned from an earlier call may be old.
     const auto local = this->locals.find(pending.dataCentre);
@@ -75,15 +75,15 @@
 
 void CallRouter::attempt(Timestamp now, std::uint64_t id)
 {
-    Pending &pending = this->pendings.at(id);
+    PendingCall &pending = this->pending.at(id);
     pending.target = this->chooseTarget(pending);
-    pending.nextTry = now + (pending.method == rpc::Method::Announce ? this->settings.timing.announceInterval + answerPatience : answerPatience);
+    pending.nextAttemptAt = now + (pending.method == rpc::Method::Announce ? this->settings.timing.announceInterval + answerPatience : answerPatience);
     if (pending.target == this->settings.id) {
         const auto local = this->locals.find(pending.dataCentre);
         const std::string body = pending.body;
         const std::string self = this->settings.id;
         local->second->execute(
-            now, pending.method, pending.actor, body, [this, now, id, self](const CallResult &result) { this->takeResult(now, id, self, result); });
+            now, pending.method, pending.actor, body, [this, now, id, self](const CallResult &result) { this->handleResult(now, id, self, result); });
         return;
     }
     this->sentCalls.add();
@@ -132,34 +132,34 @@
     result.message = reply.message;
     result.leader = reply.leader;
     result.body = wire::toString(reply.body);
-    this->takeResult(now, reply.id, fromInstance, result);
+    this->handleResult(now, reply.id, fromInstance, result);
 }
 
-void CallRouter::takeResult(Timestamp now, std::uint64_t id, const std::string &fromInstance, const CallResult &result)
+void CallRouter::handleResult(Timestamp now, std::uint64_t id, const std::string &fromInstance, const CallResult &result)
 {
-    const auto found = this->pendings.find(id);
-    if (found == this->pendings.end()) {
+    const auto found = this->pending.find(id);
+    if (found == this->pending.end()) {
         return;
     }
-    Pending &pending = found->second;
+    PendingCall &pending = found->second;
     if (result.error != ErrorCode::NotLeader) {
         this->leaders[pending.dataCentre] = fromInstance;
-        this->end(id, result);
+        this->complete(id, result);
         return;
     }
     this->leaders[pending.dataCentre] = result.leader == fromInstance ? "" : result.leader;
-    pending.nextTry = now + (result.leader.empty() ? electionPause : absl::ZeroDuration());
+    pending.nextAttemptAt = now + (result.leader.empty() ? electionPause : absl::ZeroDuration());
 }
 
-void CallRouter::end(std::uint64_t id, const CallResult &result)
+void CallRouter::complete(std::uint64_t id, const CallResult &result)
 {
-    const auto found = this->pendings.find(id);
+    const auto found = this->pending.find(id);
     const CallDone done = std::move(found->second.done);
-    this->pendings.erase(found);
+    this->pending.erase(found);
     done(result);
 }
 
-bool CallRouter::hasNewLeader(const Pending &pending) const
+bool CallRouter::hasNewLeader(const PendingCall &pending) const
 {
     const auto local = this->locals.find(pending.dataCentre);
     if (local == this->locals.end()) {
@@ -173,23 +173,23 @@
 {
     std::vector<std::uint64_t> due;
     std::vector<std::uint64_t> over;
-    for (const auto &[id, pending] : this->pendings) {
+    for (const auto &[id, pending] : this->pending) {
         if (now >= pending.deadline) {
             over.push_back(id);
-        } else if (now >= pending.nextTry || this->hasNewLeader(pending)) {
+        } else if (now >= pending.nextAttemptAt || this->hasNewLeader(pending)) {
             due.push_back(id);
         }
     }
     for (const std::uint64_t id : over) {
-        const std::string dataCentre = this->pendings.at(id).dataCentre;
+        const std::string dataCentre = this->pending.at(id).dataCentre;
         this->leaders.erase(dataCentre);
-        this->end(id,
-                  CallResult::failure(ErrorCode::DataCentreUnreachable,
-                                      absl::StrCat("no answer from the ledger of ", dataCentre, "; the call may still take effect")));
+        this->complete(id,
+                       CallResult::failure(ErrorCode::DataCentreUnreachable,
+                                           absl::StrCat("no answer from the ledger of ", dataCentre, "; the call may still take effect")));
     }
     for (const std::uint64_t id : due) {
-        const auto found = this->pendings.find(id);
-        if (found == this->pendings.end()) {
+        const auto found = this->pending.find(id);
+        if (found == this->pending.end()) {
             continue;
         }
         // No answer: whoever was asked may be gone.
--- a/paddlepier/instance/callrouter.h
+++ b/paddlepier/instance/callrouter.h
@@ -50,31 +50,31 @@
     std::size_t pendingCalls() const;
 
 private:
-    struct Pending {
+    struct PendingCall {
         std::string dataCentre;
         rpc::Method method;
         Actor actor;
         std::string body;
         CallDone done;
         Timestamp deadline;
-        Timestamp nextTry;
+        Timestamp nextAttemptAt;
         std::string target;
         std::size_t replicaIndex = 0;
     };
 
     void attempt(Timestamp now, std::uint64_t id);
-    void takeResult(Timestamp now, std::uint64_t id, const std::string &fromInstance, const CallResult &result);
-    void end(std::uint64_t id, const CallResult &result);
-    std::string chooseTarget(Pending &pending);
+    void handleResult(Timestamp now, std::uint64_t id, const std::string &fromInstance, const CallResult &result);
+    void complete(std::uint64_t id, const CallResult &result);
+    std::string chooseTarget(PendingCall &pending);
     /** The own replica has learned of another leader than the one that was asked. */
-    bool hasNewLeader(const Pending &pending) const;
+    bool hasNewLeader(const PendingCall &pending) const;
 
     const Settings &settings;
     const Send send;
     Counter &sentCalls;
     absl::flat_hash_map<std::string, LedgerService *> locals;
     absl::flat_hash_map<std::string, std::string> leaders;
-    std::map<std::uint64_t, Pending> pendings;
+    std::map<std::uint64_t, PendingCall> pending;
     std::uint64_t nextId;
 };
 
--- a/paddlepier/instance/configurationkeeper.cpp
+++ b/paddlepier/instance/configurationstore.cpp
@@ -1,6 +1,6 @@
 // The configuration that is in force in one entry instance.
 
-#include "paddlepier/instance/configurationkeeper.h"
+#include "paddlepier/instance/configurationstore.h"
 
 #include "paddlepier/base/log.h"
 #include "paddlepier/storage/framefile.h"
@@ -23,7 +23,7 @@
 
 } // namespace
 
-ConfigurationKeeper::ConfigurationKeeper(const std::string &dataFolder, Changed changed, ConfigurationGuards keeperGuards)
+ConfigurationStore::ConfigurationStore(const std::string &dataFolder, Changed changed, ConfigurationGuards keeperGuards)
     : path(dataFolder.empty() ? "" : dataFolder + "/configuration")
     , onChanged(std::move(changed))
     , guards(keeperGuards)
@@ -33,7 +33,7 @@
     }
 }
 
-void ConfigurationKeeper::load()
+void ConfigurationStore::load()
 {
     std::filesystem::create_directories(std::filesystem::path(this->path).parent_path());
     if (!std::filesystem::exists(this->path)) {
@@ -47,14 +47,14 @@
     this->onChanged(parseConfiguration(this->current.text, nameOfVersion(this->current)));
 }
 
-void ConfigurationKeeper::save(const wire::ConfigurationT &configuration) const
+void ConfigurationStore::save(const wire::ConfigurationT &configuration) const
 {
     if (!this->path.empty()) {
         storage::replaceFile(this->path, storage::encodeFrame(wire::pack(configuration)));
     }
 }
 
-bool ConfigurationKeeper::offer(const wire::ConfigurationT &configuration)
+bool ConfigurationStore::offer(const wire::ConfigurationT &configuration)
 {
     const bool isNewer = configuration.version > this->current.version;
     if (!isNewer && (this->guards.onlyForward || configuration.version == this->current.version)) {
@@ -68,7 +68,7 @@
     return true;
 }
 
-const wire::ConfigurationT &ConfigurationKeeper::inForce() const
+const wire::ConfigurationT &ConfigurationStore::inForce() const
 {
     return this->current;
 }
--- a/paddlepier/instance/configurationkeeper.h
+++ b/paddlepier/instance/configurationstore.h
@@ -11,8 +11,8 @@
 //
 // Thread safety: none; owned by the control thread.
 
-#ifndef PADDLEPIER_INSTANCE_CONFIGURATIONKEEPER_H
-#define PADDLEPIER_INSTANCE_CONFIGURATIONKEEPER_H
+#ifndef PADDLEPIER_INSTANCE_CONFIGURATIONSTORE_H
+#define PADDLEPIER_INSTANCE_CONFIGURATIONSTORE_H
 
 #include "paddlepier/settings/configuration.h"
 #include "paddlepier/wire/api_generated.h"
@@ -28,7 +28,7 @@
     bool onlyForward = true;
 };
 
-class ConfigurationKeeper
+class ConfigurationStore
 {
 public:
     using Changed = std::function<void(const DeploymentConfiguration &)>;
@@ -38,7 +38,7 @@
      * @param changed called with every version that goes into force, also with the kept one
      * @throws CorruptLogError if the kept version is damaged
      */
-    ConfigurationKeeper(const std::string &dataFolder, Changed changed, ConfigurationGuards keeperGuards = {});
+    ConfigurationStore(const std::string &dataFolder, Changed changed, ConfigurationGuards keeperGuards = {});
 
     /** Puts @p configuration into force if it is newer. @return true if it was */
     bool offer(const wire::ConfigurationT &configuration);
--- a/paddlepier/instance/configurationkeeper_test.cpp
+++ b/paddlepier/instance/configurationstore_test.cpp
@@ -1,6 +1,6 @@
 // Configuration: versions only go forward, whatever comes, also over restarts.
 
-#include "paddlepier/instance/configurationkeeper.h"
+#include "paddlepier/instance/configurationstore.h"
 
 #include "paddlepier/base/error.h"
 #include "paddlepier/ledger/ledger.h"
@@ -48,10 +48,10 @@
             wentBack = wentBack || configuration.queuedRequests < inForce;
             inForce = configuration.queuedRequests;
         };
-        auto keeper = std::make_unique<ConfigurationKeeper>(this->folder, changed, guards);
+        auto keeper = std::make_unique<ConfigurationStore>(this->folder, changed, guards);
         for (int step = 0; step < 40; ++step) {
             if (random() % 5 == 0) {
-                keeper = std::make_unique<ConfigurationKeeper>(this->folder, changed, guards);
+                keeper = std::make_unique<ConfigurationStore>(this->folder, changed, guards);
             }
             newest += random() % 2;
             keeper->offer(versionOf(1 + random() % (newest + 1)));
--- a/paddlepier/instance/instance.cpp
+++ b/paddlepier/instance/instance.cpp
@@ -38,7 +38,7 @@
 
 void answerError(http::Exchange &exchange, ErrorCode code, const std::string &message)
 {
-    exchange.answer({httpStatus(code), {{"Content-Type", jsonType}}, rpc::errorJson(code, message)});
+    exchange.respond({httpStatus(code), {{"Content-Type", jsonType}}, rpc::errorJson(code, message)});
 }
 
 bool wantsBinary(const http::Request &request)
@@ -78,8 +78,8 @@
         }
     };
     this->quick = std::make_unique<QuickService>(this->settings, this->counters, callLedger, seed);
-    this->configuration = std::make_unique<ConfigurationKeeper>(this->settings.dataFolder,
-                                                                [this](const DeploymentConfiguration &deployment) { this->configurationChanged(deployment); });
+    this->configuration = std::make_unique<ConfigurationStore>(this->settings.dataFolder,
+                                                               [this](const DeploymentConfiguration &deployment) { this->configurationChanged(deployment); });
     this->server = std::make_unique<http::HttpServer>(
         this->settings.http, this->settings.limits, [this](const std::shared_ptr<http::Exchange> &exchange) { this->handle(exchange); });
     log::info("instance", "started", {{"instance", this->settings.id}, {"http", this->settings.http.text()}, {"peer", this->settings.peer.text()}});
@@ -118,15 +118,15 @@
     while (!this->stopRequested) {
         this->step(tickInterval);
     }
-    this->plannedStop();
+    this->stopGracefully();
 }
 
 void Instance::step(Duration patience)
 {
-    for (const Mailbox::Work &work : this->mailbox.take(patience)) {
+    for (const Mailbox::Work &work : this->mailbox.drain(patience)) {
         work();
     }
-    this->suspension.look();
+    this->suspension.check();
     const Timestamp now = controlNow();
     if (now >= this->nextTick) {
         this->nextTick = now + tickInterval;
@@ -152,16 +152,16 @@
     this->counters.counter("calls_pending").set(static_cast<std::int64_t>(this->calls->pendingCalls()));
 }
 
-void Instance::plannedStop()
+void Instance::stopGracefully()
 {
     log::info("instance", "stopping", {{"instance", this->settings.id}});
-    this->leaving = true;
+    this->isLeaving = true;
     const Timestamp noticed = controlNow() + balancerNotice;
     while (controlNow() < noticed) {
         this->step(tickInterval);
     }
     for (auto &[dataCentre, entry] : this->hosted) {
-        entry.node->handOver(controlNow());
+        entry.node->transferLeadership(controlNow());
     }
     // The server waits for its exchanges on a thread of its own, while this one goes on serving them.
     std::atomic<bool> closed{false};
@@ -294,13 +294,13 @@
         return;
     }
     if (request.path == "/healthz") {
-        const char *state = this->leaving ? "leaving\n" : this->quick->isReady() ? "ok\n" : "starting\n";
-        const bool isHealthy = !this->leaving && this->quick->isReady();
-        exchange->answer({isHealthy ? 200 : 503, {{"Content-Type", "text/plain"}}, state});
+        const char *state = this->isLeaving ? "leaving\n" : this->quick->isReady() ? "ok\n" : "starting\n";
+        const bool isHealthy = !this->isLeaving && this->quick->isReady();
+        exchange->respond({isHealthy ? 200 : 503, {{"Content-Type", "text/plain"}}, state});
         return;
     }
     if (request.path == "/metrics") {
-        exchange->answer({200, {{"Content-Type", "text/plain"}}, this->counters.text()});
+        exchange->respond({200, {{"Content-Type", "text/plain"}}, this->counters.text()});
         return;
     }
     const rpc::CallInfo *call = rpc::CallCatalog::instance().findRoute(request.path);
@@ -371,7 +371,7 @@
                 return;
             }
             const std::string reply = isBinary ? result.body : rpc::CallCatalog::instance().replyToJson(call, result.body);
-            exchange->answer({200, {{"Content-Type", isBinary ? binaryType : jsonType}}, reply});
+            exchange->respond({200, {{"Content-Type", isBinary ? binaryType : jsonType}}, reply});
         };
         const bool isTaken = this->mailbox.post(
             [this, dataCentre, &call, actor, body, answer] { this->calls->call(controlNow(), dataCentre, call.method, *actor, body, callPatience, answer); });
--- a/paddlepier/instance/instance.h
+++ b/paddlepier/instance/instance.h
@@ -17,7 +17,7 @@
 #include "paddlepier/base/suspension.h"
 #include "paddlepier/http/httpserver.h"
 #include "paddlepier/instance/callrouter.h"
-#include "paddlepier/instance/configurationkeeper.h"
+#include "paddlepier/instance/configurationstore.h"
 #include "paddlepier/instance/ledgernode.h"
 #include "paddlepier/instance/ledgerservice.h"
 #include "paddlepier/instance/quickservice.h"
@@ -66,7 +66,7 @@
     void receive(wire::PeerFrameT frame);
     void step(Duration patience);
     void tickAll(Timestamp now);
-    void plannedStop();
+    void stopGracefully();
     void configurationChanged(const DeploymentConfiguration &deployment);
     void fetchConfiguration(Timestamp now);
     void gossipConfiguration();
@@ -76,10 +76,10 @@
     const Settings settings;
     Counters counters;
     Mailbox mailbox;
-    SuspensionReport suspension;
+    SuspensionReporter suspension;
     std::atomic<bool> stopRequested{false};
     /** The balancer's health check answers 503 from then on. */
-    std::atomic<bool> leaving{false};
+    std::atomic<bool> isLeaving{false};
     Timestamp nextTick = absl::InfinitePast();
 
     std::unique_ptr<replication::DiskWriter> disk;
@@ -88,7 +88,7 @@
     std::unique_ptr<peer::Transport> transport;
     std::unique_ptr<QuickService> quick;
     std::unique_ptr<http::HttpServer> server;
-    std::unique_ptr<ConfigurationKeeper> configuration;
+    std::unique_ptr<ConfigurationStore> configuration;
     Timestamp nextFetch = absl::InfinitePast();
     std::size_t nextGossip = 0;
 };
--- a/paddlepier/instance/ledgercalls.cpp
+++ b/paddlepier/instance/ledgercalls.cpp
@@ -65,8 +65,8 @@
     if (spec.command.size() > longestCommand) {
         throw InvalidArgumentError(absl::StrCat("spec.command must have at most ", longestCommand, " bytes"));
     }
-    if (spec.tasks == 0 || spec.tasks > ledger::mostTasksPerJob) {
-        throw InvalidArgumentError(absl::StrCat("spec.tasks must be from 1 to ", ledger::mostTasksPerJob));
+    if (spec.tasks == 0 || spec.tasks > ledger::maxTasksPerJob) {
+        throw InvalidArgumentError(absl::StrCat("spec.tasks must be from 1 to ", ledger::maxTasksPerJob));
     }
     if (spec.resources.milliProcessors() == 0 || spec.resources.milliProcessors() > mostProcessors) {
         throw InvalidArgumentError(absl::StrCat("spec.resources.milliProcessors must be from 1 to ", mostProcessors));
@@ -96,7 +96,7 @@
     command.partner = actor.partner;
     command.submissionId = request.submissionId;
     command.spec = std::make_unique<wire::JobSpecT>(*request.spec);
-    this->proposeFor(toCommand(std::move(command)), done, [this, done](const ledger::Applied &applied) {
+    this->proposeAndReply(toCommand(std::move(command)), done, [this, done](const ledger::Applied &applied) {
         wire::SubmitReplyT reply;
         reply.job = this->jobName(applied.job);
         reply.alreadyKnown = applied.alreadyKnown;
@@ -157,7 +157,7 @@
     reply.reason = this->ensureTerm().scheduler.explain(this->node.state(), job, wallMicros());
     reply.reasonText = reasonText(reply.reason);
     for (const wire::TaskRecordT &task : job.tasks()) {
-        if (task.state == TaskState::Failed && task.losses >= ledger::mostLosses) {
+        if (task.state == TaskState::Failed && task.losses >= ledger::maxLosses) {
             reply.reasonText = absl::StrCat("given up: ", task.losses, " workers were lost under task ", task.index);
         }
         auto detail = std::make_unique<wire::TaskDetailT>();
@@ -177,7 +177,7 @@
 {
     wire::CancelJobT command;
     command.job = this->visibleJob(actor, request.job).id();
-    this->proposeFor(toCommand(command), done, [this, done](const ledger::Applied &applied) {
+    this->proposeAndReply(toCommand(command), done, [this, done](const ledger::Applied &applied) {
         wire::CancelReplyT reply;
         reply.job = this->jobName(applied.job);
         reply.alreadyEnded = applied.alreadyKnown;
@@ -231,7 +231,7 @@
     wire::DrainWorkerT command;
     command.worker = request.worker;
     command.draining = !request.undo;
-    this->proposeFor(toCommand(std::move(command)), done, [request, done](const ledger::Applied &applied) {
+    this->proposeAndReply(toCommand(std::move(command)), done, [request, done](const ledger::Applied &applied) {
         wire::DrainReplyT reply;
         reply.worker = request.worker;
         reply.draining = !request.undo;
@@ -270,7 +270,7 @@
     succeed(done, result.reply);
 }
 
-void LedgerService::dealShares(Timestamp now, const wire::SharesRequestT &request, const CallDone &done)
+void LedgerService::allocateShares(Timestamp now, const wire::SharesRequestT &request, const CallDone &done)
 {
     Term &current = this->ensureTerm();
     std::vector<routing::ServingWorker> serving;
@@ -282,7 +282,7 @@
             serving.push_back({name, facts.address, facts.slots, facts.connections, *clock, !current.inherited.contains(name)});
         }
     }
-    succeed(done, current.dealer.deal(now, request, serving));
+    succeed(done, current.allocator.allocate(now, request, serving));
 }
 
 void LedgerService::begin(const wire::BeginRequestT &request, const CallDone &done)
@@ -293,7 +293,7 @@
     command.digest = request.digest;
     command.requestId = request.requestId;
     command.deadlineMicros = wallMicros() + static_cast<std::int64_t>(request.deadlineMillis) * 1000;
-    this->proposeFor(toCommand(std::move(command)), done, [this, request, done](const ledger::Applied &applied) {
+    this->proposeAndReply(toCommand(std::move(command)), done, [this, request, done](const ledger::Applied &applied) {
         wire::BeginReplyT reply;
         reply.result = applied.begin;
         const wire::RequestRecordT *record = this->node.state().findRequest(request.partner, request.key);
@@ -320,7 +320,7 @@
     command.key = request.key;
     command.requestId = request.requestId;
     command.answer = std::make_unique<wire::RecordedAnswerT>(*request.answer);
-    this->proposeFor(toCommand(std::move(command)), done, [done](const ledger::Applied &applied) {
+    this->proposeAndReply(toCommand(std::move(command)), done, [done](const ledger::Applied &applied) {
         wire::FinishReplyT reply;
         reply.recorded = true;
         succeed(done, reply);
@@ -348,7 +348,7 @@
     command.expectedVersion = request.expectedVersion;
     command.revision = request.revision;
     command.text = request.text;
-    this->proposeFor(toCommand(std::move(command)), done, [done](const ledger::Applied &applied) {
+    this->proposeAndReply(toCommand(std::move(command)), done, [done](const ledger::Applied &applied) {
         wire::ChangeReplyT reply;
         reply.version = applied.version;
         reply.unchanged = applied.alreadyKnown;
--- a/paddlepier/instance/ledgernode.cpp
+++ b/paddlepier/instance/ledgernode.cpp
@@ -20,9 +20,9 @@
     options.name = group.dataCentre;
     options.folder = absl::StrCat(settings.dataFolder, "/", group.dataCentre);
     options.instance = settings.id;
-    options.founders = group.replicas;
-    options.heartbeat = settings.timing.heartbeat;
-    options.election = settings.timing.election;
+    options.initialInstances = group.replicas;
+    options.heartbeatInterval = settings.timing.heartbeat;
+    options.electionTimeout = settings.timing.election;
     options.driftPerMille = settings.timing.driftPerMille;
     return options;
 }
@@ -63,8 +63,8 @@
     ReplicaNode::tick(at);
     if (!this->replica().isLeader()) {
         // Only a leader's scheduler asks for these; elsewhere they would pile up.
-        this->state().takeChangedWorkers();
-        this->state().takeChangedJobs();
+        this->state().drainChangedWorkers();
+        this->state().drainChangedJobs();
     }
 }
 
--- a/paddlepier/instance/ledgerservice.cpp
+++ b/paddlepier/instance/ledgerservice.cpp
@@ -41,7 +41,7 @@
 LedgerService::Term::Term(const Settings &settings, LedgerNode &node, std::map<std::string, std::vector<std::string>> entries)
     : number(node.replica().currentTerm())
     , leases(settings.timing, node.replica().currentTerm(), node.state().upcomingEpoch(), node.replica().leaderSince())
-    , dealer(std::move(entries), {settings.timing.shareLease, settings.limits.requestDeadline, settings.timing.driftPerMille}, node.replica().leaderSince())
+    , allocator(std::move(entries), {settings.timing.shareLease, settings.limits.requestDeadline, settings.timing.driftPerMille}, node.replica().leaderSince())
 {
     this->scheduler.rebuild(node.state());
     for (const auto &[name, worker] : node.state().workers()) {
@@ -126,7 +126,7 @@
         this->announce(now, actor, wire::unpack<wire::AnnounceRequestT>(body), done);
         return;
     case Method::DealShares:
-        this->dealShares(now, wire::unpack<wire::SharesRequestT>(body), done);
+        this->allocateShares(now, wire::unpack<wire::SharesRequestT>(body), done);
         return;
     case Method::Begin:
         this->begin(wire::unpack<wire::BeginRequestT>(body), done);
@@ -181,7 +181,7 @@
     }
 }
 
-void LedgerService::proposeFor(wire::CommandUnion command, const CallDone &done, std::function<void(const ledger::Applied &)> succeeded)
+void LedgerService::proposeAndReply(wire::CommandUnion command, const CallDone &done, std::function<void(const ledger::Applied &)> succeeded)
 {
     this->node.propose(std::move(command), [done, succeeded = std::move(succeeded)](const ledger::Applied &applied) {
         if (applied.error != ErrorCode::None) {
@@ -221,7 +221,7 @@
 {
     Term &current = *this->term;
     this->answerHeld(now, current.scheduler.refresh(this->node.state()));
-    if (current.placementUnderWay) {
+    if (current.isPlacementInFlight) {
         return;
     }
     const Timestamp start = controlNow();
@@ -230,12 +230,12 @@
         return;
     }
     this->placementDecision.record(controlNow() - start);
-    current.placementUnderWay = true;
+    current.isPlacementInFlight = true;
     const std::uint64_t number = current.number;
     this->node.propose(toCommand(std::move(*command)), [this, number](const ledger::Applied &applied) {
         this->placements.add(applied.placed);
         if (this->term != nullptr && this->term->number == number) {
-            this->term->placementUnderWay = false;
+            this->term->isPlacementInFlight = false;
         }
     });
 }
--- a/paddlepier/instance/ledgerservice.h
+++ b/paddlepier/instance/ledgerservice.h
@@ -12,7 +12,7 @@
 #include "paddlepier/instance/actor.h"
 #include "paddlepier/instance/ledgernode.h"
 #include "paddlepier/ledger/leasetable.h"
-#include "paddlepier/routing/sharedealer.h"
+#include "paddlepier/routing/shareallocator.h"
 #include "paddlepier/rpc/callcatalog.h"
 #include "paddlepier/scheduling/scheduler.h"
 #include "paddlepier/settings/configuration.h"
@@ -55,9 +55,9 @@
 
         std::uint64_t number;
         ledger::LeaseTable leases;
-        routing::ShareDealer dealer;
+        routing::ShareAllocator allocator;
         scheduling::Scheduler scheduler;
-        bool placementUnderWay = false;
+        bool isPlacementInFlight = false;
         /** Workers that an earlier leader may have dealt shares of. */
         absl::flat_hash_set<std::string> inherited;
         Timestamp nextExpiry = absl::InfinitePast();
@@ -78,7 +78,7 @@
     void status(Timestamp now, const CallDone &done);
     void drain(const Actor &actor, const wire::DrainRequestT &request, const CallDone &done);
     void announce(Timestamp now, const Actor &actor, const wire::AnnounceRequestT &request, const CallDone &done);
-    void dealShares(Timestamp now, const wire::SharesRequestT &request, const CallDone &done);
+    void allocateShares(Timestamp now, const wire::SharesRequestT &request, const CallDone &done);
     void begin(const wire::BeginRequestT &request, const CallDone &done);
     void finish(const wire::FinishRequestT &request, const CallDone &done);
     void changeConfiguration(const wire::ChangeRequestT &request, const CallDone &done);
@@ -92,7 +92,7 @@
     void answerHeld(Timestamp now, const std::vector<std::string> &changedWorkers);
     void answerHeldOf(const std::string &worker);
     /** Proposes the command of a call; @p done gets its failure, @p succeeded everything else. */
-    void proposeFor(wire::CommandUnion command, const CallDone &done, std::function<void(const ledger::Applied &)> succeeded);
+    void proposeAndReply(wire::CommandUnion command, const CallDone &done, std::function<void(const ledger::Applied &)> succeeded);
     void proposeAll(std::vector<wire::CommandUnion> commands);
 
     const Settings &settings;
--- a/paddlepier/instance/quickservice.cpp
+++ b/paddlepier/instance/quickservice.cpp
@@ -42,14 +42,14 @@
     return counters.counter(absl::StrCat("quick_answers_total{outcome=\"", outcomeName(outcome), "\"}"));
 }
 
-http::Answer errorAnswer(int status, ErrorCode code, const std::string &message)
+http::Response errorAnswer(int status, ErrorCode code, const std::string &message)
 {
     return {status, {{"Content-Type", "application/json"}}, rpc::errorJson(code, message)};
 }
 
-http::Answer notRunAnswer(const std::string &reason, Duration retryAfter)
+http::Response notRunAnswer(const std::string &reason, Duration retryAfter)
 {
-    http::Answer answer = errorAnswer(503, ErrorCode::Overloaded, absl::StrCat("not run: ", reason));
+    http::Response answer = errorAnswer(503, ErrorCode::Overloaded, absl::StrCat("not run: ", reason));
     const double seconds = absl::ToDoubleSeconds(retryAfter);
     answer.headers.emplace_back("Retry-After", absl::StrCat(static_cast<std::int64_t>(std::ceil(seconds))));
     answer.headers.emplace_back(retryAfterMillisHeader, absl::StrCat(absl::ToInt64Milliseconds(retryAfter)));
@@ -60,7 +60,7 @@
 {
     routing::RouterLimits limits;
     limits.queuedRequests = settings.limits.queuedRequests;
-    limits.longestRequest = settings.limits.requestDeadline;
+    limits.maxRequestTime = settings.limits.requestDeadline;
     limits.shareLease = settings.timing.shareLease;
     limits.driftPerMille = settings.timing.driftPerMille;
     return limits;
@@ -75,22 +75,22 @@
 /** What a worker's answer, or the lack of one, says of an attempt. */
 AttemptEnd judgeWorker(const http::TransferResult &result)
 {
-    if (!result.whole) {
+    if (!result.isComplete) {
         return result.nothingSent ? AttemptEnd::NotSent : AttemptEnd::Broken;
     }
-    if (!result.answer.header(refusedHeader).empty()) {
+    if (!result.response.header(refusedHeader).empty()) {
         return AttemptEnd::Refused;
     }
-    return result.answer.status >= firstFailureStatus ? AttemptEnd::Failed : AttemptEnd::Answered;
+    return result.response.status >= firstFailureStatus ? AttemptEnd::Failed : AttemptEnd::Answered;
 }
 
 /** The same for another data centre's entry, which states the outcome itself. */
 AttemptEnd judgeHop(const http::TransferResult &result)
 {
-    if (!result.whole) {
+    if (!result.isComplete) {
         return result.nothingSent ? AttemptEnd::NotSent : AttemptEnd::Broken;
     }
-    const std::string_view outcome = result.answer.header(outcomeHeader);
+    const std::string_view outcome = result.response.header(outcomeHeader);
     if (outcome == outcomeName(RequestOutcome::Completed)) {
         return AttemptEnd::Answered;
     }
@@ -112,7 +112,7 @@
     , incarnation(seed)
 {
     std::vector<std::pair<std::string, std::string>> hops;
-    this->homes.push_back(instanceSettings.dataCentre);
+    this->keyDataCentres.push_back(instanceSettings.dataCentre);
     for (const PeerSettings &peer : instanceSettings.peers) {
         if (peer.partner != instanceSettings.partner) {
             continue;
@@ -120,12 +120,12 @@
         if (peer.dataCentre != instanceSettings.dataCentre) {
             hops.emplace_back(peer.id, peer.http.text());
         }
-        if (std::find(this->homes.begin(), this->homes.end(), peer.dataCentre) == this->homes.end()) {
-            this->homes.push_back(peer.dataCentre);
+        if (std::find(this->keyDataCentres.begin(), this->keyDataCentres.end(), peer.dataCentre) == this->keyDataCentres.end()) {
+            this->keyDataCentres.push_back(peer.dataCentre);
         }
     }
     // Every entry of the partner must find the same home for a key.
-    std::sort(this->homes.begin(), this->homes.end());
+    std::sort(this->keyDataCentres.begin(), this->keyDataCentres.end());
     this->router.setHopTargets(hops);
     this->thread = std::thread([this] { this->run(); });
 }
@@ -137,12 +137,12 @@
 
 bool QuickService::isReady() const
 {
-    return this->hasAsked || controlNow() - this->startedAt > longestStart;
+    return this->hasRequestedShares || controlNow() - this->startedAt > longestStart;
 }
 
 void QuickService::post(Mailbox::Work work)
 {
-    this->mailbox.postAlways(std::move(work));
+    this->mailbox.postUnbounded(std::move(work));
     this->pool.wake();
 }
 
@@ -150,9 +150,9 @@
 {
     const bool isTaken = this->mailbox.post([this, exchange] { this->accept(exchange); });
     if (!isTaken) {
-        http::Answer answer = notRunAnswer("too many requests wait", absl::Seconds(1));
+        http::Response answer = notRunAnswer("too many requests wait", absl::Seconds(1));
         answer.headers.emplace_back(outcomeHeader, outcomeName(RequestOutcome::NotRun));
-        exchange->answer(std::move(answer));
+        exchange->respond(std::move(answer));
         return;
     }
     this->pool.wake();
@@ -168,7 +168,7 @@
 
 void QuickService::stop()
 {
-    if (this->stopping.exchange(true)) {
+    if (this->isStopping.exchange(true)) {
         return;
     }
     this->pool.wake();
@@ -177,8 +177,8 @@
 
 void QuickService::run()
 {
-    while (!this->stopping) {
-        for (const Mailbox::Work &work : this->mailbox.take(absl::ZeroDuration())) {
+    while (!this->isStopping) {
+        for (const Mailbox::Work &work : this->mailbox.drain(absl::ZeroDuration())) {
             work();
         }
         const Timestamp now = controlNow();
@@ -191,7 +191,7 @@
     this->mailbox.close();
 }
 
-bool QuickService::readHeaders(const http::Request &request, Caller &caller, http::Answer &refusal) const
+bool QuickService::readHeaders(const http::Request &request, Caller &caller, http::Response &refusal) const
 {
     caller.isHop = !request.header(hopHeader).empty();
     if (caller.isHop && request.header(cellKeyHeader) != this->settings.cellKey) {
@@ -228,10 +228,10 @@
     caller.received = controlNow();
     const std::uint64_t id = this->nextRequest++;
     caller.requestId = absl::StrCat(absl::Hex(this->incarnation, absl::kZeroPad16), "-", id);
-    http::Answer refusal;
+    http::Response refusal;
     if (!this->readHeaders(exchange->request(), caller, refusal)) {
         refusal.headers.emplace_back(outcomeHeader, outcomeName(RequestOutcome::NotRun));
-        exchange->answer(std::move(refusal));
+        exchange->respond(std::move(refusal));
         return;
     }
     const bool needsKey = !caller.key.empty() && !caller.isHop;
@@ -243,9 +243,9 @@
     }
 }
 
-std::string QuickService::homeOf(const std::string &key) const
+std::string QuickService::dataCentreOfKey(const std::string &key) const
 {
-    return this->homes[XXH3_64bits(key.data(), key.size()) % this->homes.size()];
+    return this->keyDataCentres[XXH3_64bits(key.data(), key.size()) % this->keyDataCentres.size()];
 }
 
 void QuickService::openKey(std::uint64_t id)
@@ -259,7 +259,7 @@
     request.digest = caller.digest;
     request.requestId = caller.requestId;
     request.deadlineMillis = static_cast<std::uint64_t>(std::max<std::int64_t>(absl::ToInt64Milliseconds(remaining), 1));
-    this->callLedger(this->homeOf(caller.key), rpc::Method::Begin, wire::pack(request), remaining, [this, id](const CallResult &result) {
+    this->callLedger(this->dataCentreOfKey(caller.key), rpc::Method::Begin, wire::pack(request), remaining, [this, id](const CallResult &result) {
         this->post([this, id, result] { this->keyOpened(id, result); });
     });
 }
@@ -291,7 +291,7 @@
         this->answerCaller(id, RequestOutcome::Unknown, errorAnswer(502, ErrorCode::Timeout, "the end of the request with this key is not known"));
         return;
     }
-    http::Answer recorded{reply.answer->status, {{"Content-Type", reply.answer->contentType}}, wire::toString(reply.answer->body)};
+    http::Response recorded{reply.answer->status, {{"Content-Type", reply.answer->contentType}}, wire::toString(reply.answer->body)};
     this->answerCaller(id, reply.answer->outcome, std::move(recorded));
 }
 
@@ -304,8 +304,8 @@
 void QuickService::pump()
 {
     for (bool busy = true; busy;) {
-        const std::vector<routing::Attempt> attempts = this->router.takeAttempts();
-        const std::vector<routing::Finished> finished = this->router.takeFinished();
+        const std::vector<routing::Attempt> attempts = this->router.drainAttempts();
+        const std::vector<routing::Finished> finished = this->router.drainFinished();
         busy = !attempts.empty() || !finished.empty();
         for (const routing::Attempt &attempt : attempts) {
             this->send(attempt);
@@ -353,23 +353,23 @@
     AttemptEnd end = attempt.isHop ? judgeHop(result) : judgeWorker(result);
     // A late answer to an earlier request on the same connection must not pass for this one's.
     const std::string expected = absl::StrCat(caller.requestId, ".", attempt.id);
-    if (!attempt.isHop && result.whole && result.answer.header(requestIdHeader) != expected) {
+    if (!attempt.isHop && result.isComplete && result.response.header(requestIdHeader) != expected) {
         this->counters.counter("quick_foreign_answers_total").add();
         log::warning("quick", "answer.foreign", {{"worker", attempt.target}, {"expected", expected}});
         end = AttemptEnd::Broken;
     }
     if (end == AttemptEnd::Answered || end == AttemptEnd::Failed) {
-        caller.answers[attempt.id] = std::move(result.answer);
+        caller.answers[attempt.id] = std::move(result.response);
     }
-    this->router.ended(controlNow(), attempt.id, end);
+    this->router.recordAttemptEnd(controlNow(), attempt.id, end);
 }
 
 void QuickService::finish(const routing::Finished &finished)
 {
     Caller &caller = this->callers.at(finished.request);
-    http::Answer answer;
+    http::Response answer;
     if (finished.attempt != 0) {
-        const http::Answer &received = caller.answers.at(finished.attempt);
+        const http::Response &received = caller.answers.at(finished.attempt);
         answer = {received.status, {{"Content-Type", std::string(received.header("Content-Type"))}}, received.body};
     } else if (finished.outcome == RequestOutcome::NotRun) {
         answer = notRunAnswer(nameOf(finished.reason), finished.retryAfter);
@@ -386,7 +386,7 @@
     this->closeKey(caller, outcome, &answer, [this, id, outcome, answer] { this->answerCaller(id, outcome, answer); });
 }
 
-void QuickService::closeKey(const Caller &caller, RequestOutcome outcome, const http::Answer *answer, const std::function<void()> &closed)
+void QuickService::closeKey(const Caller &caller, RequestOutcome outcome, const http::Response *answer, const std::function<void()> &closed)
 {
     wire::FinishRequestT request;
     request.partner = this->settings.partner;
@@ -400,10 +400,10 @@
         request.answer->body = wire::toBytes(answer->body);
     }
     this->callLedger(
-        this->homeOf(caller.key), rpc::Method::Finish, wire::pack(request), closePatience, [this, closed](const CallResult &) { this->post(closed); });
+        this->dataCentreOfKey(caller.key), rpc::Method::Finish, wire::pack(request), closePatience, [this, closed](const CallResult &) { this->post(closed); });
 }
 
-void QuickService::answerCaller(std::uint64_t id, RequestOutcome outcome, http::Answer answer)
+void QuickService::answerCaller(std::uint64_t id, RequestOutcome outcome, http::Response answer)
 {
     const auto found = this->callers.find(id);
     if (found == this->callers.end()) {
@@ -413,11 +413,11 @@
     answer.headers.emplace_back(requestIdHeader, found->second.requestId);
     outcomeCounter(this->counters, outcome).add();
     this->addedTime.record(controlNow() - found->second.received);
-    found->second.exchange->answer(std::move(answer));
+    found->second.exchange->respond(std::move(answer));
     this->callers.erase(found);
 }
 
-void QuickService::boundConnections(const wire::SharesReplyT &reply)
+void QuickService::limitConnections(const wire::SharesReplyT &reply)
 {
     // The library knows one bound for all hosts, so the smallest share of connections counts.
     std::uint32_t connections = 0;
@@ -425,7 +425,7 @@
         connections = connections == 0 ? share->connections : std::min(connections, share->connections);
     }
     if (connections > 0) {
-        this->pool.setConnectionsPerHost(connections);
+        this->pool.setMaxConnectionsPerHost(connections);
     }
 }
 
@@ -460,10 +460,10 @@
                 this->nextShares = controlNow() + (result.error == ErrorCode::Conflict ? absl::ZeroDuration() : failedSharesPause);
                 return;
             }
-            this->hasAsked = true;
+            this->hasRequestedShares = true;
             const auto reply = wire::unpack<wire::SharesReplyT>(result.body);
             this->shareAnswered = sequence;
-            this->boundConnections(reply);
+            this->limitConnections(reply);
             this->router.setShares(controlNow(), now, reply);
             this->nextShares = now + (this->router.demand() > 0 ? busySharesInterval : quietSharesInterval);
         });
--- a/paddlepier/instance/quickservice.h
+++ b/paddlepier/instance/quickservice.h
@@ -68,12 +68,12 @@
         bool isIdempotent = false;
         bool isHop = false;
         /** Answers of attempts that ended whole, until the router has said which one counts. */
-        absl::flat_hash_map<std::uint64_t, http::Answer> answers;
+        absl::flat_hash_map<std::uint64_t, http::Response> answers;
     };
 
     void run();
     void accept(const std::shared_ptr<http::Exchange> &exchange);
-    bool readHeaders(const http::Request &request, Caller &caller, http::Answer &refusal) const;
+    bool readHeaders(const http::Request &request, Caller &caller, http::Response &refusal) const;
     void openKey(std::uint64_t id);
     void keyOpened(std::uint64_t id, const CallResult &result);
     void route(std::uint64_t id);
@@ -81,11 +81,11 @@
     void send(const routing::Attempt &attempt);
     void attemptEnded(const routing::Attempt &attempt, http::TransferResult result);
     void finish(const routing::Finished &finished);
-    void closeKey(const Caller &caller, wire::RequestOutcome outcome, const http::Answer *answer, const std::function<void()> &closed);
-    void answerCaller(std::uint64_t id, wire::RequestOutcome outcome, http::Answer answer);
+    void closeKey(const Caller &caller, wire::RequestOutcome outcome, const http::Response *answer, const std::function<void()> &closed);
+    void answerCaller(std::uint64_t id, wire::RequestOutcome outcome, http::Response answer);
     void renewShares(Timestamp now);
-    void boundConnections(const wire::SharesReplyT &reply);
-    std::string homeOf(const std::string &key) const;
+    void limitConnections(const wire::SharesReplyT &reply);
+    std::string dataCentreOfKey(const std::string &key) const;
     void post(Mailbox::Work work);
 
     const Settings &settings;
@@ -96,7 +96,7 @@
     http::TransferPool pool;
     routing::QuickRouter router;
     absl::flat_hash_map<std::uint64_t, Caller> callers;
-    std::vector<std::string> homes;
+    std::vector<std::string> keyDataCentres;
     std::uint64_t nextRequest = 1;
     const std::uint64_t incarnation;
     const Timestamp startedAt = controlNow();
@@ -104,8 +104,8 @@
     /** Sequence of the newest answer taken. */
     std::uint64_t shareAnswered = 0;
     Timestamp nextShares = absl::InfinitePast();
-    std::atomic<bool> hasAsked{false};
-    std::atomic<bool> stopping{false};
+    std::atomic<bool> hasRequestedShares{false};
+    std::atomic<bool> isStopping{false};
     std::thread thread;
 };
 
--- a/paddlepier/ledger/job.cpp
+++ b/paddlepier/ledger/job.cpp
@@ -191,7 +191,7 @@
     const bool isService = this->spec().kind == JobKind::Service;
     const bool hasSettled = task.startedAtMicros > 0 && atMicros - task.startedAtMicros >= settledMicros;
     task.losses = isService && hasSettled ? 1 : task.losses + 1;
-    if (!isService && task.losses >= mostLosses) {
+    if (!isService && task.losses >= maxLosses) {
         this->setState(task, TaskState::Failed);
         return;
     }
@@ -240,7 +240,7 @@
     if (this->data.gangRestarting) {
         this->restartGang(atMicros);
     }
-    this->noteEnd(atMicros);
+    this->recordEnd(atMicros);
     return released;
 }
 
@@ -267,7 +267,7 @@
         return;
     }
     this->data.gangRestarting = false;
-    const bool mayRestart = !anyLost && !anyCancelled && !this->spec().atMostOnce && attempts < this->spec().maxAttempts && losses < mostLosses;
+    const bool mayRestart = !anyLost && !anyCancelled && !this->spec().atMostOnce && attempts < this->spec().maxAttempts && losses < maxLosses;
     for (wire::TaskRecordT &task : this->taskList) {
         task.attempts = attempts;
         if (mayRestart) {
@@ -290,7 +290,7 @@
             this->setState(task, TaskState::Stopping);
         }
     }
-    this->noteEnd(atMicros);
+    this->recordEnd(atMicros);
 }
 
 void Job::move(std::uint32_t index)
@@ -300,7 +300,7 @@
     }
 }
 
-void Job::noteEnd(std::int64_t atMicros)
+void Job::recordEnd(std::int64_t atMicros)
 {
     if (this->hasEnded() && this->data.endedAtMicros == 0) {
         this->data.endedAtMicros = atMicros;
--- a/paddlepier/ledger/job.h
+++ b/paddlepier/ledger/job.h
@@ -30,7 +30,7 @@
  * Workers lost under one task after which it is given up, unless it is a service: each start may cost a worker and all that runs
  * there. Not fewer, since a cut can't be told from a loss here.
  */
-constexpr std::uint32_t mostLosses = 4;
+constexpr std::uint32_t maxLosses = 4;
 
 /** How an attempt ended, as far as the ledger can know. */
 enum class AttemptEnd { Succeeded, Failed, Stopped, NeverStarted, Unknown };
@@ -88,7 +88,7 @@
     void requeue(wire::TaskRecordT &task, std::int64_t atMicros, bool countAttempt);
     /** The worker was lost, or cut off, while the task may have run there. */
     void requeueAfterLoss(wire::TaskRecordT &task, std::int64_t atMicros);
-    void noteEnd(std::int64_t atMicros);
+    void recordEnd(std::int64_t atMicros);
     bool mayRetry(const wire::TaskRecordT &task) const;
 
     wire::JobRecordT data; // without tasks
--- a/paddlepier/ledger/leasetable.cpp
+++ b/paddlepier/ledger/leasetable.cpp
@@ -130,7 +130,7 @@
         throw StaleAnnouncementError(absl::StrCat("sequence ", request.sequence, " of ", request.worker, " is not above ", contact.sequence));
     }
     contact.sequence = request.sequence;
-    contact.heardAt = now;
+    contact.lastAnnouncedAt = now;
     contact.clockMicros = request.clockMicros;
     contact.leaseEnd = now + this->leaseHere();
     contact.expiryProposed = false;
@@ -316,7 +316,7 @@
 Duration LeaseTable::silence(Timestamp now, const std::string &worker) const
 {
     const auto found = this->contacts.find(worker);
-    return found == this->contacts.end() ? absl::InfiniteDuration() : now - found->second.heardAt;
+    return found == this->contacts.end() ? absl::InfiniteDuration() : now - found->second.lastAnnouncedAt;
 }
 
 std::optional<std::int64_t> LeaseTable::workerClock(Timestamp now, const std::string &worker) const
@@ -326,7 +326,7 @@
         return std::nullopt;
     }
     // A slow worker clock may have gone forward less than this one.
-    const Duration passed = (now - found->second.heardAt) * (1.0 - 2.0 * this->timing.driftPerMille / 1000.0);
+    const Duration passed = (now - found->second.lastAnnouncedAt) * (1.0 - 2.0 * this->timing.driftPerMille / 1000.0);
     return found->second.clockMicros + absl::ToInt64Microseconds(passed);
 }
 
--- a/paddlepier/ledger/leasetable.h
+++ b/paddlepier/ledger/leasetable.h
@@ -90,7 +90,7 @@
 private:
     struct Contact {
         std::uint64_t sequence = 0;
-        Timestamp heardAt = absl::InfinitePast();
+        Timestamp lastAnnouncedAt = absl::InfinitePast();
         std::int64_t clockMicros = 0;
         /** Until then the worker may run tasks; on the leader's clock. */
         Timestamp leaseEnd;
--- a/paddlepier/ledger/ledger.cpp
+++ b/paddlepier/ledger/ledger.cpp
@@ -53,8 +53,8 @@
 Applied Ledger::apply(const wire::LedgerEntryT &entry)
 {
     this->appliedMicros = std::max(this->appliedMicros, entry.atMicros);
-    this->requests.forget(this->appliedMicros);
-    this->forgetEndedJobs();
+    this->requests.removeExpired(this->appliedMicros);
+    this->removeEndedJobs();
     const wire::CommandUnion &command = entry.command;
     switch (command.type) {
     case wire::Command::RegisterWorker:
@@ -119,7 +119,7 @@
     this->changedJobs.insert(job.id());
 }
 
-void Ledger::noteWorker(const std::string &name)
+void Ledger::markWorkerChanged(const std::string &name)
 {
     this->changedWorkers.insert(name);
 }
@@ -134,7 +134,7 @@
         record.registration = std::make_unique<wire::RegisterWorkerT>(command);
         this->workerByName.emplace(command.worker, Worker(std::move(record)));
     }
-    this->noteWorker(command.worker);
+    this->markWorkerChanged(command.worker);
     this->moveServices(this->workerByName.at(command.worker));
     return {};
 }
@@ -149,7 +149,7 @@
         return refuse(ErrorCode::Conflict, absl::StrCat(command.worker, " still holds tasks"));
     }
     this->workerByName.erase(found);
-    this->noteWorker(command.worker);
+    this->markWorkerChanged(command.worker);
     return {};
 }
 
@@ -160,7 +160,7 @@
         return refuse(ErrorCode::UnknownWorker, absl::StrCat("no worker ", command.worker));
     }
     found->second.setDrainedByOperator(command.draining);
-    this->noteWorker(command.worker);
+    this->markWorkerChanged(command.worker);
     this->moveServices(found->second);
     return {};
 }
@@ -170,7 +170,7 @@
     if (!worker.isDraining()) {
         return;
     }
-    this->noteWorker(worker.name());
+    this->markWorkerChanged(worker.name());
     for (const TaskId &task : worker.tasks()) {
         Job &job = this->jobById.at(task.job);
         if (job.spec().kind == wire::JobKind::Service) {
@@ -189,8 +189,8 @@
         applied.alreadyKnown = true;
         return applied;
     }
-    if (command.spec->tasks == 0 || command.spec->tasks > mostTasksPerJob) {
-        return refuse(ErrorCode::InvalidArgument, absl::StrCat("tasks must be from 1 to ", mostTasksPerJob));
+    if (command.spec->tasks == 0 || command.spec->tasks > maxTasksPerJob) {
+        return refuse(ErrorCode::InvalidArgument, absl::StrCat("tasks must be from 1 to ", maxTasksPerJob));
     }
     wire::JobRecordT record;
     record.id = this->nextJob++;
@@ -220,7 +220,7 @@
     this->changeJob(found->second, [at](Job &job) { job.cancel(at); });
     for (const wire::TaskRecordT &task : found->second.tasks()) {
         if (isActive(task.state)) {
-            this->noteWorker(task.worker);
+            this->markWorkerChanged(task.worker);
         }
     }
     return applied;
@@ -290,7 +290,7 @@
             applied.placed += static_cast<std::uint32_t>(group->placements.size());
         }
         for (const std::unique_ptr<wire::PlacementT> &placement : group->placements) {
-            this->noteWorker(placement->worker);
+            this->markWorkerChanged(placement->worker);
             this->changedJobs.insert(placement->job);
         }
     }
@@ -305,7 +305,7 @@
     }
     Resources &total = this->reservedByPartner[job.record().partner];
     total = minus(total, job.spec().resources);
-    this->noteWorker(released.worker);
+    this->markWorkerChanged(released.worker);
 }
 
 void Ledger::endAttempt(const wire::TaskLease &lease, const std::string &worker, AttemptEnd end)
@@ -357,7 +357,7 @@
     return {};
 }
 
-void Ledger::forgetEndedJobs()
+void Ledger::removeEndedJobs()
 {
     while (!this->endedJobs.empty()) {
         const auto found = this->jobById.find(this->endedJobs.front());
@@ -404,7 +404,7 @@
     for (std::unique_ptr<wire::WorkerRecordT> &record : packed.workers) {
         const std::string name = record->registration->worker;
         this->workerByName.emplace(name, Worker(std::move(*record)));
-        this->noteWorker(name);
+        this->markWorkerChanged(name);
     }
     std::vector<std::pair<std::int64_t, std::uint64_t>> ended;
     for (std::unique_ptr<wire::JobRecordT> &record : packed.jobs) {
@@ -498,7 +498,7 @@
     return this->appliedMicros;
 }
 
-std::vector<std::string> Ledger::takeChangedWorkers()
+std::vector<std::string> Ledger::drainChangedWorkers()
 {
     std::vector<std::string> names(this->changedWorkers.begin(), this->changedWorkers.end());
     this->changedWorkers.clear();
@@ -506,7 +506,7 @@
     return names;
 }
 
-std::vector<std::uint64_t> Ledger::takeChangedJobs()
+std::vector<std::uint64_t> Ledger::drainChangedJobs()
 {
     std::vector<std::uint64_t> ids(this->changedJobs.begin(), this->changedJobs.end());
     this->changedJobs.clear();
--- a/paddlepier/ledger/ledger.h
+++ b/paddlepier/ledger/ledger.h
@@ -62,7 +62,7 @@
 constexpr std::int64_t jobRetentionMicros = 24LL * 3600 * 1'000'000;
 
 /** Most tasks that one job may have. */
-constexpr std::uint32_t mostTasksPerJob = 10'000;
+constexpr std::uint32_t maxTasksPerJob = 10'000;
 
 class Ledger
 {
@@ -93,9 +93,9 @@
     std::int64_t lastAppliedMicros() const;
 
     /** Names of workers that changed since the last call, for derived indexes. */
-    std::vector<std::string> takeChangedWorkers();
+    std::vector<std::string> drainChangedWorkers();
     /** Jobs whose queued tasks changed since the last call. */
-    std::vector<std::uint64_t> takeChangedJobs();
+    std::vector<std::uint64_t> drainChangedJobs();
 
 private:
     Applied registerWorker(const wire::RegisterWorkerT &command);
@@ -117,8 +117,8 @@
     void moveServices(const Worker &worker);
     template<typename Change>
     void changeJob(Job &job, Change change);
-    void noteWorker(const std::string &name);
-    void forgetEndedJobs();
+    void markWorkerChanged(const std::string &name);
+    void removeEndedJobs();
 
     std::map<std::string, Worker, std::less<>> workerByName;
     std::map<std::uint64_t, Job> jobById;
--- a/paddlepier/ledger/requesttable.cpp
+++ b/paddlepier/ledger/requesttable.cpp
@@ -29,7 +29,7 @@
         }
         return found->second.digest == request.digest ? OpenOutcome::Known : OpenOutcome::KeyReused;
     }
-    if (this->records.size() >= mostRequests) {
+    if (this->records.size() >= maxRequests) {
         return OpenOutcome::TableFull;
     }
     wire::RequestRecordT record;
@@ -59,7 +59,7 @@
     return true;
 }
 
-void RequestTable::forget(std::int64_t atMicros)
+void RequestTable::removeExpired(std::int64_t atMicros)
 {
     while (!this->byDeadline.empty() && this->byDeadline.begin()->first + requestRetentionMicros < atMicros) {
         this->records.erase(this->byDeadline.begin()->second);
--- a/paddlepier/ledger/requesttable.h
+++ b/paddlepier/ledger/requesttable.h
@@ -28,7 +28,7 @@
 {
 
 constexpr std::int64_t requestRetentionMicros = 24LL * 3600 * 1'000'000;
-constexpr std::size_t mostRequests = 200'000;
+constexpr std::size_t maxRequests = 200'000;
 
 enum class OpenOutcome { Accepted, Known, KeyReused, TableFull };
 
@@ -41,7 +41,7 @@
     bool close(const wire::CloseRequestT &request);
 
     /** Drops records whose retention is over at @p atMicros. */
-    void forget(std::int64_t atMicros);
+    void removeExpired(std::int64_t atMicros);
 
     const wire::RequestRecordT *find(std::string_view partner, std::string_view key) const;
     std::size_t size() const;
--- a/paddlepier/peer/framecodec.cpp
+++ b/paddlepier/peer/framecodec.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-std::string toFrameBytes(const wire::PeerFrameT &frame)
+std::string encodeFrame(const wire::PeerFrameT &frame)
 {
     const std::string body = wire::pack(frame);
     const std::uint32_t length = htonl(static_cast<std::uint32_t>(body.size()));
@@ -30,7 +30,7 @@
     return bytes;
 }
 
-bool isSameKey(const std::string &left, const std::string &right)
+bool constantTimeEquals(const std::string &left, const std::string &right)
 {
     unsigned char difference = left.size() == right.size() ? 0 : 1;
     for (std::size_t index = 0; index < std::min(left.size(), right.size()); ++index) {
@@ -39,7 +39,7 @@
     return difference == 0;
 }
 
-std::string helloBytes(const std::string &instance, const std::string &cellKey)
+std::string encodeHello(const std::string &instance, const std::string &cellKey)
 {
     wire::HelloT greeting;
     greeting.version = protocolVersion;
@@ -48,10 +48,10 @@
     wire::PeerFrameT hello;
     hello.fromInstance = instance;
     hello.body.Set(std::move(greeting));
-    return toFrameBytes(hello);
+    return encodeFrame(hello);
 }
 
-std::optional<std::string> takeFrameBody(const std::string &buffer, std::size_t &offset, std::size_t mostBytes)
+std::optional<std::string> extractFrameBody(const std::string &buffer, std::size_t &offset, std::size_t mostBytes)
 {
     if (buffer.size() - offset < lengthBytes) {
         return std::nullopt;
--- a/paddlepier/peer/framecodec.h
+++ b/paddlepier/peer/framecodec.h
@@ -23,20 +23,20 @@
 /** Version of the frames; instances of different versions refuse each other. */
 constexpr std::uint32_t protocolVersion = 1;
 
-std::string toFrameBytes(const wire::PeerFrameT &frame);
+std::string encodeFrame(const wire::PeerFrameT &frame);
 
 /** The first frame of a connection: who it comes from. */
-std::string helloBytes(const std::string &instance, const std::string &cellKey);
+std::string encodeHello(const std::string &instance, const std::string &cellKey);
 
 /**
  * The body of the frame at @p offset of @p buffer, which is then moved behind it; nothing while the frame isn't whole.
  *
  * @throws FrameTooLargeError if the frame says that it is longer than @p mostBytes
  */
-std::optional<std::string> takeFrameBody(const std::string &buffer, std::size_t &offset, std::size_t mostBytes);
+std::optional<std::string> extractFrameBody(const std::string &buffer, std::size_t &offset, std::size_t mostBytes);
 
 /** Compares in time that doesn't depend on where the two differ. */
-bool isSameKey(const std::string &left, const std::string &right);
+bool constantTimeEquals(const std::string &left, const std::string &right);
 
 } // namespace paddlepier::peer
 
--- a/paddlepier/peer/framecodec_test.cpp
+++ b/paddlepier/peer/framecodec_test.cpp
@@ -23,12 +23,12 @@
         wire::PeerFrameT frame;
         frame.fromInstance = instance;
         frame.body.Set(wire::HelloT());
-        return toFrameBytes(frame);
+        return encodeFrame(frame);
     }
 
     std::optional<std::string> take()
     {
-        const std::optional<std::string> body = takeFrameBody(this->buffer, this->offset, mostBytes);
+        const std::optional<std::string> body = extractFrameBody(this->buffer, this->offset, mostBytes);
         return body ? std::optional(wire::unpack<wire::PeerFrameT>(*body).fromInstance) : std::nullopt;
     }
 
@@ -65,10 +65,10 @@
 
 TEST_CASE("keys_ofOtherLengthOrContent_areNotTheSame")
 {
-    CHECK(isSameKey("abc", "abc"));
-    CHECK_FALSE(isSameKey("abc", "abd"));
-    CHECK_FALSE(isSameKey("abc", "ab"));
-    CHECK_FALSE(isSameKey("", "a"));
+    CHECK(constantTimeEquals("abc", "abc"));
+    CHECK_FALSE(constantTimeEquals("abc", "abd"));
+    CHECK_FALSE(constantTimeEquals("abc", "ab"));
+    CHECK_FALSE(constantTimeEquals("", "a"));
 }
 
 } // namespace paddlepier::peer
--- a/paddlepier/peer/sockets.cpp
+++ b/paddlepier/peer/sockets.cpp
@@ -37,7 +37,7 @@
     return ::socket(toSocketAddress(endpoint).storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 }
 
-bool hasPeer(int socket)
+bool isSocketConnected(int socket)
 {
     sockaddr_storage other{};
     socklen_t size = sizeof(other);
--- a/paddlepier/peer/sockets.h
+++ b/paddlepier/peer/sockets.h
@@ -20,7 +20,7 @@
 void setIncomingOptions(int socket);
 
 /** The other side has taken the connection. */
-bool hasPeer(int socket);
+bool isSocketConnected(int socket);
 
 } // namespace paddlepier::peer
 
--- a/paddlepier/peer/transport.cpp
+++ b/paddlepier/peer/transport.cpp
@@ -102,8 +102,8 @@
         this->droppedFrames.add();
         return;
     }
-    const std::string bytes = toFrameBytes(frame);
-    if (bytes.size() > mostFrameBytes) {
+    const std::string bytes = encodeFrame(frame);
+    if (bytes.size() > maxFrameBytes) {
         this->droppedFrames.add();
         log::error("peer", "frame.too-large", {{"to", instance}, {"bytes", bytes.size()}});
         return;
@@ -111,13 +111,13 @@
     bool isFirst = false;
     {
         const absl::MutexLock lock(&this->mutex);
-        const auto queued = this->waiting.find(instance);
-        if (queued != this->waiting.end() && queued->second.size() + bytes.size() > mostQueuedBytes) {
+        const auto queued = this->sendQueues.find(instance);
+        if (queued != this->sendQueues.end() && queued->second.size() + bytes.size() > maxQueuedBytes) {
             this->droppedFrames.add();
             return;
         }
-        isFirst = this->waiting.empty();
-        this->waiting[instance] += bytes;
+        isFirst = this->sendQueues.empty();
+        this->sendQueues[instance] += bytes;
     }
     this->sentFrames.add();
     this->sentBytes.add(static_cast<std::int64_t>(bytes.size()));
@@ -135,7 +135,7 @@
 
 void Transport::Implementation::stop()
 {
-    if (this->stopping.exchange(true)) {
+    if (this->isStopping.exchange(true)) {
         return;
     }
     this->wake();
@@ -152,8 +152,9 @@
 void Transport::Implementation::run()
 {
     std::array<epoll_event, 64> events{};
-    while (!this->stopping) {
-        const int count = ::epoll_wait(this->epoll, events.data(), static_cast<int>(events.size()), this->isOpening ? openingPollMillis : pollMillis);
+    while (!this->isStopping) {
+        const int count =
+            ::epoll_wait(this->epoll, events.data(), static_cast<int>(events.size()), this->hasOpeningConnections ? openingPollMillis : pollMillis);
         for (int index = 0; index < count; ++index) {
             const int descriptor = events[static_cast<std::size_t>(index)].data.fd;
             if (descriptor == this->listener) {
@@ -164,59 +165,59 @@
             } else if (this->incoming.contains(descriptor)) {
                 this->readIncoming(descriptor);
             } else {
-                this->noteOutgoing(descriptor, (events[static_cast<std::size_t>(index)].events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0);
+                this->handleOutgoingEvent(descriptor, (events[static_cast<std::size_t>(index)].events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0);
             }
         }
-        this->takeWaiting();
-        this->serveWanted();
-        if (controlNow() >= this->nextRound) {
-            this->nextRound = controlNow() + roundInterval;
+        this->drainSendQueues();
+        this->servePending();
+        if (controlNow() >= this->nextFullPass) {
+            this->nextFullPass = controlNow() + roundInterval;
             this->serveAll();
         }
     }
 }
 
-void Transport::Implementation::serveWanted()
+void Transport::Implementation::servePending()
 {
-    std::vector<Outgoing *> wanted;
-    wanted.swap(this->wanted);
-    for (Outgoing *connection : wanted) {
-        connection->isWanted = false;
+    std::vector<OutgoingConnection *> wanted;
+    wanted.swap(this->pendingConnections);
+    for (OutgoingConnection *connection : wanted) {
+        connection->isPending = false;
         this->serveOutgoing(*connection);
     }
 }
 
 void Transport::Implementation::serveAll()
 {
-    this->isOpening = false;
+    this->hasOpeningConnections = false;
     for (auto &[name, connection] : this->outgoing) {
         this->serveOutgoing(*connection);
-        this->isOpening = this->isOpening || (connection->socket >= 0 ? !connection->isConnected : !connection->buffer.empty());
+        this->hasOpeningConnections = this->hasOpeningConnections || (connection->socket >= 0 ? !connection->isConnected : !connection->buffer.empty());
     }
-    this->dropSilent();
+    this->closeUnauthenticated();
 }
 
-void Transport::Implementation::want(Outgoing &connection)
+void Transport::Implementation::markPending(OutgoingConnection &connection)
 {
-    if (!std::exchange(connection.isWanted, true)) {
-        this->wanted.push_back(&connection);
+    if (!std::exchange(connection.isPending, true)) {
+        this->pendingConnections.push_back(&connection);
     }
 }
 
 void Transport::Implementation::addOutgoing(const std::string &name, const Endpoint &endpoint)
 {
-    auto connection = std::make_unique<Outgoing>();
+    auto connection = std::make_unique<OutgoingConnection>();
     connection->name = name;
     connection->endpoint = endpoint;
     this->outgoing.emplace(name, std::move(connection));
 }
 
-void Transport::Implementation::takeWaiting()
+void Transport::Implementation::drainSendQueues()
 {
     absl::flat_hash_map<std::string, std::string> taken;
     {
         const absl::MutexLock lock(&this->mutex);
-        taken.swap(this->waiting);
+        taken.swap(this->sendQueues);
     }
     for (auto &[name, bytes] : taken) {
         if (!this->outgoing.contains(name)) {
@@ -228,23 +229,23 @@
             }
             this->addOutgoing(name, *endpoint);
         }
-        Outgoing &connection = *this->outgoing.at(name);
+        OutgoingConnection &connection = *this->outgoing.at(name);
         // What is sent in the pause before the next try goes out with it; at a start, peers often come up within one.
-        if (connection.buffer.size() - connection.sentBytes + bytes.size() > mostQueuedBytes) {
+        if (connection.buffer.size() - connection.sentBytes + bytes.size() > maxQueuedBytes) {
             this->droppedFrames.add();
             continue;
         }
         connection.buffer += bytes;
-        this->isOpening = this->isOpening || connection.socket < 0;
-        this->want(connection);
+        this->hasOpeningConnections = this->hasOpeningConnections || connection.socket < 0;
+        this->markPending(connection);
     }
 }
 
-void Transport::Implementation::serveOutgoing(Outgoing &connection)
+void Transport::Implementation::serveOutgoing(OutgoingConnection &connection)
 {
     if (connection.socket < 0) {
         const bool isWanted = !this->settings.acceptsUnknownPeers || !connection.buffer.empty();
-        if (isWanted && controlNow() >= connection.nextTry) {
+        if (isWanted && controlNow() >= connection.nextAttempt) {
             this->connect(connection);
         }
         return;
@@ -258,18 +259,18 @@
             this->closeOutgoing(connection);
             return;
         }
-        connection.isConnected = hasPeer(connection.socket);
+        connection.isConnected = isSocketConnected(connection.socket);
     }
     if (connection.isConnected) {
         this->flush(connection);
     }
 }
 
-void Transport::Implementation::connect(Outgoing &connection)
+void Transport::Implementation::connect(OutgoingConnection &connection)
 {
     connection.socket = openSocket(connection.endpoint);
     this->bySocket[connection.socket] = &connection;
-    this->isOpening = true;
+    this->hasOpeningConnections = true;
     connection.connectingSince = controlNow();
     setOutgoingOptions(connection.socket);
     const SocketAddress address = toSocketAddress(connection.endpoint);
@@ -282,20 +283,20 @@
     event.events = EPOLLOUT | EPOLLRDHUP | EPOLLET;
     event.data.fd = connection.socket;
     ::epoll_ctl(this->epoll, EPOLL_CTL_ADD, connection.socket, &event);
-    const std::string bytes = helloBytes(this->settings.id, this->settings.cellKey);
-    connection.greetingBytes = bytes.size();
+    const std::string bytes = encodeHello(this->settings.id, this->settings.cellKey);
+    connection.helloBytes = bytes.size();
     connection.buffer.insert(0, bytes);
 }
 
-void Transport::Implementation::reconnect(Outgoing &connection)
+void Transport::Implementation::reconnect(OutgoingConnection &connection)
 {
     this->bySocket.erase(connection.socket);
     ::close(connection.socket);
-    connection.buffer.erase(0, connection.greetingBytes);
+    connection.buffer.erase(0, connection.helloBytes);
     this->connect(connection);
 }
 
-void Transport::Implementation::closeOutgoing(Outgoing &connection)
+void Transport::Implementation::closeOutgoing(OutgoingConnection &connection)
 {
     if (connection.socket >= 0) {
         this->bySocket.erase(connection.socket);
@@ -303,29 +304,29 @@
     }
     connection.socket = -1;
     connection.isConnected = false;
-    connection.nextTry = controlNow() + reconnectPause;
+    connection.nextAttempt = controlNow() + reconnectPause;
     // What waited is old by the time the peer is back; the protocols above send anew.
     connection.buffer.clear();
     connection.sentBytes = 0;
 }
 
-void Transport::Implementation::noteOutgoing(int socket, bool isClosed)
+void Transport::Implementation::handleOutgoingEvent(int socket, bool isClosed)
 {
     const auto found = this->bySocket.find(socket);
     if (found == this->bySocket.end()) {
         return;
     }
-    Outgoing &connection = *found->second;
-    this->want(connection);
+    OutgoingConnection &connection = *found->second;
+    this->markPending(connection);
     // Peers send nothing over this connection, so that its end is the only thing that it tells. What is sent next opens
     // a new one at once, instead of being lost in this one.
     if (isClosed && connection.isConnected) {
         this->closeOutgoing(connection);
-        connection.nextTry = controlNow();
+        connection.nextAttempt = controlNow();
     }
 }
 
-void Transport::Implementation::flush(Outgoing &connection)
+void Transport::Implementation::flush(OutgoingConnection &connection)
 {
     std::size_t &sent = connection.sentBytes;
     while (sent < connection.buffer.size()) {
@@ -343,7 +344,7 @@
     if (sent * 2 >= connection.buffer.size()) {
         connection.buffer.erase(0, std::exchange(sent, 0));
     }
-    if (connection.buffer.size() - sent > mostQueuedBytes) {
+    if (connection.buffer.size() - sent > maxQueuedBytes) {
         this->closeOutgoing(connection);
     }
 }
@@ -377,11 +378,11 @@
     this->incoming.erase(socket);
 }
 
-void Transport::Implementation::dropSilent()
+void Transport::Implementation::closeUnauthenticated()
 {
     for (auto connection = this->incoming.begin(); connection != this->incoming.end();) {
         const auto current = connection++;
-        if (!current->second.isTrusted && controlNow() - current->second.openedAt > helloPatience) {
+        if (!current->second.isAuthenticated && controlNow() - current->second.openedAt > helloPatience) {
             this->refusedConnections.add();
             this->closeIncoming(current->first);
         }
@@ -390,8 +391,8 @@
 
 void Transport::Implementation::readIncoming(int socket)
 {
-    Incoming &connection = this->incoming.at(socket);
-    const ssize_t count = ::recv(socket, this->chunk.data(), this->chunk.size(), 0);
+    IncomingConnection &connection = this->incoming.at(socket);
+    const ssize_t count = ::recv(socket, this->readBuffer.data(), this->readBuffer.size(), 0);
     if (count < 0 && (errno == EAGAIN || errno == EINTR)) {
         return;
     }
@@ -400,9 +401,9 @@
         return;
     }
     this->receivedBytes.add(count);
-    connection.buffer.append(this->chunk.data(), static_cast<std::size_t>(count));
+    connection.buffer.append(this->readBuffer.data(), static_cast<std::size_t>(count));
     try {
-        this->takeFrames(socket, connection);
+        this->receiveFrames(socket, connection);
     } catch (const Error &error) {
         this->refusedConnections.add();
         log::warning("peer", "connection.refused", {{"error", paddlepier::nameOf(error.code())}, {"message", error.what()}});
@@ -410,13 +411,13 @@
     }
 }
 
-void Transport::Implementation::takeFrames(int socket, Incoming &connection)
+void Transport::Implementation::receiveFrames(int socket, IncomingConnection &connection)
 {
     std::size_t offset = 0;
-    while (const std::optional<std::string> body = takeFrameBody(connection.buffer, offset, mostFrameBytes)) {
+    while (const std::optional<std::string> body = extractFrameBody(connection.buffer, offset, maxFrameBytes)) {
         auto frame = wire::unpack<wire::PeerFrameT>(*body);
-        if (!connection.isTrusted) {
-            this->greet(connection, frame);
+        if (!connection.isAuthenticated) {
+            this->handleHello(connection, frame);
             continue;
         }
         this->receivedFrames.add();
@@ -426,7 +427,7 @@
     connection.buffer.erase(0, offset);
 }
 
-void Transport::Implementation::greet(Incoming &connection, const wire::PeerFrameT &frame)
+void Transport::Implementation::handleHello(IncomingConnection &connection, const wire::PeerFrameT &frame)
 {
     const auto *hello = frame.body.AsHello();
     if (hello == nullptr) {
@@ -435,7 +436,7 @@
     if (hello->version != protocolVersion) {
         throw PeerRefusedError(absl::StrCat("protocol version ", hello->version, ", here ", protocolVersion));
     }
-    if (!isSameKey(hello->key, this->settings.cellKey)) {
+    if (!constantTimeEquals(hello->key, this->settings.cellKey)) {
         throw PeerRefusedError("wrong cell key");
     }
     const bool isKnown =
@@ -444,7 +445,7 @@
         throw PeerRefusedError(absl::StrCat("unknown instance ", hello->instance));
     }
     connection.instance = hello->instance;
-    connection.isTrusted = true;
+    connection.isAuthenticated = true;
     // It is up: an attempt to reach it that began before would only be repeated after a wait.
     const auto towards = this->outgoing.find(hello->instance);
     if (towards != this->outgoing.end() && towards->second->socket >= 0 && !towards->second->isConnected) {
--- a/paddlepier/peer/transport.h
+++ b/paddlepier/peer/transport.h
@@ -25,10 +25,10 @@
 namespace paddlepier::peer
 {
 
-constexpr std::size_t mostFrameBytes = 16U << 20U;
+constexpr std::size_t maxFrameBytes = 16U << 20U;
 
 /** Bytes that may wait for one peer. */
-constexpr std::size_t mostQueuedBytes = 32U << 20U;
+constexpr std::size_t maxQueuedBytes = 32U << 20U;
 
 class Transport
 {
--- a/paddlepier/peer/transport_detail.h
+++ b/paddlepier/peer/transport_detail.h
@@ -25,7 +25,7 @@
 {
 
 /** Bytes that one read takes at most. */
-constexpr std::size_t readBytes = 65536;
+constexpr std::size_t maxReadBytes = 65536;
 
 } // namespace detail
 
@@ -39,53 +39,53 @@
     void stop();
 
 private:
-    struct Outgoing {
+    struct OutgoingConnection {
         std::string name;
         Endpoint endpoint;
         int socket = -1;
         bool isConnected = false;
-        Timestamp nextTry = absl::InfinitePast();
+        Timestamp nextAttempt = absl::InfinitePast();
         Timestamp connectingSince;
         std::string buffer;
         /** Of `buffer`: what has been sent already. */
         std::size_t sentBytes = 0;
         /** Length of the Hello at the beginning of `buffer`, until the connection is open. */
-        std::size_t greetingBytes = 0;
+        std::size_t helloBytes = 0;
         /** It is in the list of those to serve. */
-        bool isWanted = false;
+        bool isPending = false;
     };
 
-    struct Incoming {
+    struct IncomingConnection {
         std::string buffer;
         std::string instance;
-        bool isTrusted = false;
+        bool isAuthenticated = false;
         Timestamp openedAt;
     };
 
     void listen();
     void run();
     void wake();
-    void takeWaiting();
+    void drainSendQueues();
     void addOutgoing(const std::string &name, const Endpoint &endpoint);
-    void serveOutgoing(Outgoing &outgoing);
-    void connect(Outgoing &outgoing);
+    void serveOutgoing(OutgoingConnection &outgoing);
+    void connect(OutgoingConnection &outgoing);
     /** Gives an attempt up for a new one; what waits goes out with it. */
-    void reconnect(Outgoing &outgoing);
-    void closeOutgoing(Outgoing &outgoing);
+    void reconnect(OutgoingConnection &outgoing);
+    void closeOutgoing(OutgoingConnection &outgoing);
     /** Something has happened at an outgoing connection: it is open, takes bytes again, or was closed by its peer. */
-    void noteOutgoing(int socket, bool isClosed);
+    void handleOutgoingEvent(int socket, bool isClosed);
     /** Serves the connections with something to do: which have bytes to send, or at whose sockets something has happened. */
-    void serveWanted();
+    void servePending();
     /** Serves all, for what only time changes: late connects, pauses that are over, peers that say nothing. */
     void serveAll();
-    void want(Outgoing &connection);
-    void flush(Outgoing &outgoing);
+    void markPending(OutgoingConnection &connection);
+    void flush(OutgoingConnection &outgoing);
     void accept();
     void readIncoming(int socket);
-    void takeFrames(int socket, Incoming &incoming);
-    void greet(Incoming &incoming, const wire::PeerFrameT &frame);
+    void receiveFrames(int socket, IncomingConnection &incoming);
+    void handleHello(IncomingConnection &incoming, const wire::PeerFrameT &frame);
     void closeIncoming(int socket);
-    void dropSilent();
+    void closeUnauthenticated();
 
     const Settings settings;
     const Receiver receiver;
@@ -98,20 +98,20 @@
     int epoll = -1;
     int wakeup = -1;
     int listener = -1;
-    std::atomic<bool> stopping{false};
+    std::atomic<bool> isStopping{false};
     absl::Mutex mutex;
     /** Bytes that send() handed over, by peer. */
-    absl::flat_hash_map<std::string, std::string> waiting ABSL_GUARDED_BY(mutex);
+    absl::flat_hash_map<std::string, std::string> sendQueues ABSL_GUARDED_BY(mutex);
     // Of the transport's thread once it runs.
-    absl::flat_hash_map<std::string, std::unique_ptr<Outgoing>> outgoing;
-    absl::flat_hash_map<int, Outgoing *> bySocket;
-    std::vector<Outgoing *> wanted;
-    Timestamp nextRound = absl::InfinitePast();
+    absl::flat_hash_map<std::string, std::unique_ptr<OutgoingConnection>> outgoing;
+    absl::flat_hash_map<int, OutgoingConnection *> bySocket;
+    std::vector<OutgoingConnection *> pendingConnections;
+    Timestamp nextFullPass = absl::InfinitePast();
     /** Some connection is opening, or waits for its next try. */
-    bool isOpening = true;
-    absl::flat_hash_map<int, Incoming> incoming;
+    bool hasOpeningConnections = true;
+    absl::flat_hash_map<int, IncomingConnection> incoming;
     /** What one read brings; kept, since to clear it anew costs more than the read of a short frame. */
-    std::vector<char> chunk = std::vector<char>(detail::readBytes);
+    std::vector<char> readBuffer = std::vector<char>(detail::maxReadBytes);
     std::thread thread;
 };
 
--- a/paddlepier/planning/advicebook.cpp
+++ b/paddlepier/planning/advicecache.cpp
@@ -1,6 +1,6 @@
 // What the policy service has said.
 
-#include "paddlepier/planning/advicebook.h"
+#include "paddlepier/planning/advicecache.h"
 
 #include <algorithm>
 
@@ -26,54 +26,54 @@
     return absl::Microseconds(static_cast<std::int64_t>(1000 * (policy.decisionMillis + policy.perWorkerMillis * static_cast<double>(workers))));
 }
 
-std::uint32_t AdviceBook::numberOf(const workload::Life &worker)
+std::uint32_t AdviceCache::numberOf(const workload::Incarnation &worker)
 {
     return this->numbers.try_emplace(worker, static_cast<std::uint32_t>(this->numbers.size())).first->second;
 }
 
-Standing AdviceBook::standingOf(Timestamp now, const Word &word)
+AdviceStatus AdviceCache::statusOf(Timestamp now, const WorkerAdvice &word)
 {
     if (!word.isPermitted) {
-        return Standing::Forbidden;
+        return AdviceStatus::Forbidden;
     }
-    return word.ticket.validUntil > now ? Standing::Permitted : Standing::Expired;
+    return word.ticket.validUntil > now ? AdviceStatus::Permitted : AdviceStatus::Expired;
 }
 
-StepAdvice AdviceBook::about(Timestamp now, const workload::StepKey &step) const
+StepAdvice AdviceCache::adviceFor(Timestamp now, const workload::StepKey &step) const
 {
     const auto found = this->steps.find(step);
     if (found == this->steps.end()) {
         return {};
     }
     const Entry &entry = found->second;
-    return {entry.ticketsUntil > now, entry.asking > 0, entry.asking == 0 && entry.notBefore <= now};
+    return {entry.lastTicketExpiry > now, entry.pendingQuestions > 0, entry.pendingQuestions == 0 && entry.notBefore <= now};
 }
 
-const Ticket *AdviceBook::validTicket(Timestamp now, const workload::StepKey &step, const workload::Life &worker) const
+const Ticket *AdviceCache::validTicket(Timestamp now, const workload::StepKey &step, const workload::Incarnation &worker) const
 {
     const auto found = this->steps.find(step);
     const auto number = this->numbers.find(worker);
     if (found == this->steps.end() || number == this->numbers.end()) {
         return nullptr;
     }
-    const auto word = found->second.words.find(number->second);
-    return word != found->second.words.end() && standingOf(now, word->second) == Standing::Permitted ? &word->second.ticket : nullptr;
+    const auto word = found->second.byWorker.find(number->second);
+    return word != found->second.byWorker.end() && statusOf(now, word->second) == AdviceStatus::Permitted ? &word->second.ticket : nullptr;
 }
 
-execution::AdviceQuestion
-AdviceBook::ask(Timestamp now, const workload::StepKey &step, const std::string &queue, std::vector<workload::Life> workers, const work::AdvicePolicyT &policy)
+execution::AdviceRequest AdviceCache::request(
+    Timestamp now, const workload::StepKey &step, const std::string &queue, std::vector<workload::Incarnation> workers, const work::AdvicePolicyT &policy)
 {
-    execution::AdviceQuestion question;
+    execution::AdviceRequest question;
     question.id = this->nextId++;
     question.step = step;
-    question.cost = costOf(policy, workers.size());
+    question.decisionTime = costOf(policy, workers.size());
     question.workers = workers;
-    this->pending[question.id] = {step, queue, std::move(workers), now + question.cost, absl::Milliseconds(policy.validMillis)};
-    ++this->steps[step].asking;
+    this->pending[question.id] = {step, queue, std::move(workers), now + question.decisionTime, absl::Milliseconds(policy.validMillis)};
+    ++this->steps[step].pendingQuestions;
     return question;
 }
 
-void AdviceBook::answer(Timestamp now, std::uint64_t id, const execution::AdviceAnswer &answer)
+void AdviceCache::recordAnswer(Timestamp now, std::uint64_t id, const execution::AdviceAnswer &answer)
 {
     const auto found = this->pending.find(id);
     if (found == this->pending.end()) {
@@ -86,7 +86,7 @@
         return;
     }
     Entry &advice = step->second;
-    advice.asking -= std::min<std::size_t>(advice.asking, 1);
+    advice.pendingQuestions -= std::min<std::size_t>(advice.pendingQuestions, 1);
     if (!answer.isAnswered) {
         advice.notBefore = now + unansweredPause;
         return;
@@ -95,39 +95,40 @@
     // taken its time.
     const Timestamp validUntil = std::min(now, asked.earliestAnswer) + asked.valid - ticketMargin;
     Share &share = this->shares[asked.queue];
-    for (const workload::Life &worker : asked.workers) {
-        const auto good = std::find_if(answer.good.begin(), answer.good.end(), [&](const work::AdviceTicketT &entry) { return entry.worker == worker.id; });
-        share.permitted = share.permitted * shareMemory + (good != answer.good.end() ? 1 : 0);
+    for (const workload::Incarnation &worker : asked.workers) {
+        const auto good =
+            std::find_if(answer.tickets.begin(), answer.tickets.end(), [&](const work::AdviceTicketT &entry) { return entry.worker == worker.id; });
+        share.permitted = share.permitted * shareMemory + (good != answer.tickets.end() ? 1 : 0);
         share.asked = share.asked * shareMemory + 1;
-        if (good != answer.good.end()) {
-            advice.words[this->numberOf(worker)] = {true, {good->ticket, validUntil}};
-            advice.ticketsUntil = std::max(advice.ticketsUntil, validUntil);
+        if (good != answer.tickets.end()) {
+            advice.byWorker[this->numberOf(worker)] = {true, {good->ticket, validUntil}};
+            advice.lastTicketExpiry = std::max(advice.lastTicketExpiry, validUntil);
         } else {
             // That a worker may run a step never changes.
-            advice.words.try_emplace(this->numberOf(worker));
+            advice.byWorker.try_emplace(this->numberOf(worker));
         }
     }
 }
 
-std::size_t AdviceBook::pendingQuestions() const
+std::size_t AdviceCache::pendingQuestions() const
 {
     return this->pending.size();
 }
 
-void AdviceBook::rejectTicket(const workload::StepKey &step, const workload::Life &worker)
+void AdviceCache::rejectTicket(const workload::StepKey &step, const workload::Incarnation &worker)
 {
     const auto found = this->steps.find(step);
     const auto number = this->numbers.find(worker);
     if (found == this->steps.end() || number == this->numbers.end()) {
         return;
     }
-    const auto word = found->second.words.find(number->second);
-    if (word != found->second.words.end() && word->second.isPermitted) {
+    const auto word = found->second.byWorker.find(number->second);
+    if (word != found->second.byWorker.end() && word->second.isPermitted) {
         word->second.ticket.validUntil = absl::InfinitePast();
     }
 }
 
-double AdviceBook::permittedShare(const std::string &queue) const
+double AdviceCache::permittedShare(const std::string &queue) const
 {
     const auto found = this->shares.find(queue);
     return found == this->shares.end() ? 0.5 : std::clamp(found->second.permitted / found->second.asked, 0.05, 1.0);
--- a/paddlepier/planning/advicebook.h
+++ b/paddlepier/planning/advicecache.h
@@ -10,8 +10,8 @@
 //
 // Thread safety: none; owned by the control thread. Every call is O(1) a worker, but for answer(): O(log n).
 
-#ifndef PADDLEPIER_PLANNING_ADVICEBOOK_H
-#define PADDLEPIER_PLANNING_ADVICEBOOK_H
+#ifndef PADDLEPIER_PLANNING_ADVICECACHE_H
+#define PADDLEPIER_PLANNING_ADVICECACHE_H
 
 #include "paddlepier/base/clock.h"
 #include "paddlepier/execution/orders.h"
@@ -30,7 +30,7 @@
 {
 
 /** Questions over this cost are long: several short ones fit into it. */
-constexpr Duration longQuestionCost = absl::Milliseconds(100);
+constexpr Duration longRequestThreshold = absl::Milliseconds(100);
 
 struct Ticket {
     std::string text;
@@ -42,29 +42,29 @@
     /** There may be a worker with a ticket that is still good. */
     bool mayHaveTicket = false;
     /** An answer is awaited. */
-    bool isAsking = false;
+    bool isPending = false;
     /** False while an answer is awaited, and for a short while after a question that got none. */
-    bool mayAsk = true;
+    bool mayRequest = true;
 };
 
-enum class Standing { Unasked, Forbidden, Permitted, Expired };
+enum class AdviceStatus { NotRequested, Forbidden, Permitted, Expired };
 
 /** Time that the policy service takes for a question about so many workers. */
 Duration costOf(const work::AdvicePolicyT &policy, std::size_t workers);
 
-class AdviceBook
+class AdviceCache
 {
 public:
     /** Number of @p worker in this book; it stays the same. */
-    std::uint32_t numberOf(const workload::Life &worker);
+    std::uint32_t numberOf(const workload::Incarnation &worker);
     /** Calls @p visit(number, standing) for each worker that the service has told about; O(1) each. */
     template<typename Visit>
-    void visitStandings(Timestamp now, const workload::StepKey &step, Visit visit) const
+    void visitStatuses(Timestamp now, const workload::StepKey &step, Visit visit) const
     {
         const auto found = this->steps.find(step);
         if (found != this->steps.end()) {
-            for (const auto &[number, word] : found->second.words) {
-                visit(number, standingOf(now, word));
+            for (const auto &[number, word] : found->second.byWorker) {
+                visit(number, statusOf(now, word));
             }
         }
     }
@@ -73,24 +73,24 @@
     bool anyPermitted(Timestamp now, const workload::StepKey &step, Predicate holds) const
     {
         const auto found = this->steps.find(step);
-        return found != this->steps.end() && std::any_of(found->second.words.begin(), found->second.words.end(), [now, &holds](const auto &entry) {
-                   return standingOf(now, entry.second) == Standing::Permitted && holds(entry.first);
+        return found != this->steps.end() && std::any_of(found->second.byWorker.begin(), found->second.byWorker.end(), [now, &holds](const auto &entry) {
+                   return statusOf(now, entry.second) == AdviceStatus::Permitted && holds(entry.first);
                });
     }
-    StepAdvice about(Timestamp now, const workload::StepKey &step) const;
+    StepAdvice adviceFor(Timestamp now, const workload::StepKey &step) const;
     /** Null unless the worker may run the step and the ticket is still good. */
-    const Ticket *validTicket(Timestamp now, const workload::StepKey &step, const workload::Life &worker) const;
+    const Ticket *validTicket(Timestamp now, const workload::StepKey &step, const workload::Incarnation &worker) const;
 
-    execution::AdviceQuestion
-    ask(Timestamp now, const workload::StepKey &step, const std::string &queue, std::vector<workload::Life> workers, const work::AdvicePolicyT &policy);
-    void answer(Timestamp now, std::uint64_t id, const execution::AdviceAnswer &answer);
+    execution::AdviceRequest request(
+        Timestamp now, const workload::StepKey &step, const std::string &queue, std::vector<workload::Incarnation> workers, const work::AdvicePolicyT &policy);
+    void recordAnswer(Timestamp now, std::uint64_t id, const execution::AdviceAnswer &answer);
     /** Questions without an answer so far. */
     std::size_t pendingQuestions() const;
     /** A worker has refused the ticket. */
-    void rejectTicket(const workload::StepKey &step, const workload::Life &worker);
+    void rejectTicket(const workload::StepKey &step, const workload::Incarnation &worker);
     /** Drops what is known for jobs that @p isOver says to have ended; O(steps). */
     template<typename Predicate>
-    void forgetJobs(Predicate isOver)
+    void removeEndedJobs(Predicate isOver)
     {
         absl::erase_if(this->steps, [&isOver](const auto &entry) { return isOver(entry.first.job); });
     }
@@ -102,20 +102,20 @@
     struct Pending {
         workload::StepKey step;
         std::string queue;
-        std::vector<workload::Life> workers;
+        std::vector<workload::Incarnation> workers;
         Timestamp earliestAnswer;
         Duration valid;
     };
     /** What was said of one worker; without a ticket if it is forbidden. */
-    struct Word {
+    struct WorkerAdvice {
         bool isPermitted = false;
         Ticket ticket;
     };
     struct Entry {
-        absl::flat_hash_map<std::uint32_t, Word> words;
+        absl::flat_hash_map<std::uint32_t, WorkerAdvice> byWorker;
         /** No ticket is good any longer than this. */
-        Timestamp ticketsUntil = absl::InfinitePast();
-        std::size_t asking = 0;
+        Timestamp lastTicketExpiry = absl::InfinitePast();
+        std::size_t pendingQuestions = 0;
         Timestamp notBefore = absl::InfinitePast();
     };
     struct Share {
@@ -123,9 +123,9 @@
         double asked = 2.0;
     };
 
-    static Standing standingOf(Timestamp now, const Word &word);
+    static AdviceStatus statusOf(Timestamp now, const WorkerAdvice &word);
 
-    absl::flat_hash_map<workload::Life, std::uint32_t, workload::LifeHash> numbers;
+    absl::flat_hash_map<workload::Incarnation, std::uint32_t, workload::IncarnationHash> numbers;
     absl::flat_hash_map<workload::StepKey, Entry, workload::StepKeyHash> steps;
     std::map<std::uint64_t, Pending> pending;
     std::map<std::string, Share> shares;
--- a/paddlepier/planning/advicebook_test.cpp
+++ b/paddlepier/planning/advicecache_test.cpp
@@ -1,6 +1,6 @@
 // How long tickets of the policy service are used.
 
-#include "paddlepier/planning/advicebook.h"
+#include "paddlepier/planning/advicecache.h"
 
 #include <catch2/catch.hpp>
 
@@ -23,12 +23,12 @@
     /** Asks about one worker, which takes the service 60 ms, and takes the answer after @p delay. */
     void askAndAnswer(Duration delay)
     {
-        const execution::AdviceQuestion question = this->book.ask(this->now, this->step, "queue", {this->worker}, this->policy);
+        const execution::AdviceRequest question = this->book.request(this->now, this->step, "queue", {this->worker}, this->policy);
         this->now += delay;
         execution::AdviceAnswer answer;
         answer.isAnswered = true;
-        answer.good.emplace_back().worker = this->worker.id;
-        this->book.answer(this->now, question.id, answer);
+        answer.tickets.emplace_back().worker = this->worker.id;
+        this->book.recordAnswer(this->now, question.id, answer);
     }
 
     bool hasTicketAt(Timestamp at) const
@@ -37,10 +37,10 @@
     }
 
     const workload::StepKey step{"job", 0, 0};
-    const workload::Life worker{"w1", 1};
+    const workload::Incarnation worker{"w1", 1};
     work::AdvicePolicyT policy;
     Timestamp now = absl::UnixEpoch() + absl::Hours(1);
-    AdviceBook book;
+    AdviceCache book;
 };
 
 } // namespace
--- a/paddlepier/planning/asking.h
+++ b/paddlepier/planning/advicerequester.h
@@ -14,14 +14,14 @@
 //
 // Thread safety: none; owned by the planner. Cost: ask() is O(workers + workers named x log workers).
 
-#ifndef PADDLEPIER_PLANNING_ASKING_H
-#define PADDLEPIER_PLANNING_ASKING_H
+#ifndef PADDLEPIER_PLANNING_ADVICEREQUESTER_H
+#define PADDLEPIER_PLANNING_ADVICEREQUESTER_H
 
 #include "paddlepier/base/clock.h"
 #include "paddlepier/execution/orders.h"
-#include "paddlepier/planning/advicebook.h"
-#include "paddlepier/planning/roomkeeping.h"
-#include "paddlepier/planning/rooms.h"
+#include "paddlepier/planning/advicecache.h"
+#include "paddlepier/planning/capacityindex.h"
+#include "paddlepier/planning/capacityreserver.h"
 
 #include <cstddef>
 #include <limits>
@@ -33,53 +33,53 @@
 {
 
 /** Questions that can be sent now. */
-struct QuestionBudget {
-    std::size_t longQuestions = std::numeric_limits<std::size_t>::max();
+struct AdviceBudget {
+    std::size_t longRequests = std::numeric_limits<std::size_t>::max();
     /** Time of the policy service that short questions may take together. */
-    Duration shortQuestions = absl::InfiniteDuration();
+    Duration shortRequestTime = absl::InfiniteDuration();
 };
 
-class AdviceAsking
+class AdviceRequester
 {
 public:
-    AdviceAsking(Rooms &planRooms, RoomKeeper &roomKeeper, AdviceBook &book);
+    AdviceRequester(CapacityIndex &planRooms, CapacityReserver &roomKeeper, AdviceCache &book);
 
     /** Begins a plan. */
-    void begin(const QuestionBudget &questionBudget);
+    void begin(const AdviceBudget &questionBudget);
     /** The step that so much is known of may be asked about now, and somebody is free to ask. */
-    bool mayAsk(const StepAdvice &known, const work::AdvicePolicyT &policy) const;
+    bool mayRequest(const StepAdvice &known, const work::AdvicePolicyT &policy) const;
 
     /**
      * Keeps room for what is likely to be permitted, and asks if no answer is awaited already.
      *
      * @param coming  room that is kept for the step anyway
      */
-    std::optional<execution::AdviceQuestion> ask(Timestamp now, const WantedStep &wanted, const std::vector<ComingRoom> &coming);
+    std::optional<execution::AdviceRequest> request(Timestamp now, const PendingStep &wanted, const std::vector<FutureCapacity> &coming);
 
 private:
     /** A worker that the policy service may be asked about. */
     struct Candidate {
-        Room *room;
-        bool hasRoom;
+        WorkerCapacity *worker;
+        bool hasCapacity;
         /** Known to be permitted; only the ticket is over. */
         bool isExpired;
         double penalty;
     };
 
     /** Workers that the policy service may be asked about, with or without room for a task; of many, those that suit best as a rule. */
-    std::vector<Candidate> candidatesFor(const WantedStep &wanted, bool withRoom);
+    std::vector<Candidate> candidatesFor(const PendingStep &wanted, bool withRoom);
     /** Workers whose room comes by the time that the policy service has renewed their tickets. */
-    static void addRenewals(std::vector<Candidate> &candidates, const WantedStep &wanted, const std::vector<ComingRoom> &coming);
+    static void addRenewals(std::vector<Candidate> &candidates, const PendingStep &wanted, const std::vector<FutureCapacity> &coming);
     /** Keeps room for the step on the best of the candidates. @return workers to ask about; none if it may not ask */
-    std::vector<workload::Life> keepRoomFor(const WantedStep &wanted, std::vector<Candidate> candidates, bool mayAsk);
+    std::vector<workload::Incarnation> reserveAndSelect(const PendingStep &wanted, std::vector<Candidate> candidates, bool mayAsk);
     /** Keeps room for the tasks that are likely to go there. @return how many, in expectation */
-    double keepRoom(const WantedStep &wanted, Room &room, double chance);
+    double reserveExpected(const PendingStep &wanted, WorkerCapacity &room, double chance);
 
-    Rooms &rooms;
-    RoomKeeper &keeper;
-    AdviceBook &advice;
+    CapacityIndex &capacityIndex;
+    CapacityReserver &reserver;
+    AdviceCache &adviceCache;
     /** What is left of the plan's. */
-    QuestionBudget budget;
+    AdviceBudget budget;
 };
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/rooms.h
+++ b/paddlepier/planning/capacityindex.h
@@ -16,14 +16,14 @@
 // has told about); hasRoomFor() O(1) as a rule, O(workers) for a size that wasn't asked for in this plan; the rest O(1) or O(data
 // centres).
 
-#ifndef PADDLEPIER_PLANNING_ROOMS_H
-#define PADDLEPIER_PLANNING_ROOMS_H
+#ifndef PADDLEPIER_PLANNING_CAPACITYINDEX_H
+#define PADDLEPIER_PLANNING_CAPACITYINDEX_H
 
 #include "paddlepier/base/clock.h"
-#include "paddlepier/execution/duequeue.h"
 #include "paddlepier/execution/runtrack.h"
+#include "paddlepier/execution/timerqueue.h"
 #include "paddlepier/execution/workerview.h"
-#include "paddlepier/planning/advicebook.h"
+#include "paddlepier/planning/advicecache.h"
 #include "paddlepier/planning/suitability.h"
 #include "paddlepier/workload/workload.h"
 
@@ -40,66 +40,66 @@
 namespace paddlepier::planning
 {
 
-class Rooms
+class CapacityIndex
 {
 public:
-    Rooms(const workload::Workload &workloadState, const execution::WorkerViews &workerViews, AdviceBook &adviceBook);
+    CapacityIndex(const workload::Workload &workloadState, const execution::WorkerViews &workerViews, AdviceCache &adviceBook);
 
     /** The view of a worker has changed, or there is a new one. */
-    void noteView(const workload::Life &worker);
+    void markViewChanged(const workload::Incarnation &worker);
     /** Begins a plan; what the plan before has taken or noted is dropped. */
-    void collect(Timestamp now);
+    void refresh(Timestamp now);
     /** Counts what stopping runs are about to give back; once a plan. */
-    void countComing(const execution::RunTracks &tracks);
+    void countReleasing(const execution::RunTracks &tracks);
 
     /** Notes what there is of a step on each worker, and what the policy service has said. */
-    void beginStep(Timestamp now, const WantedStep &wanted);
+    void beginStep(Timestamp now, const PendingStep &wanted);
 
     /** Those that can't be used are among them. */
-    std::vector<Room> &all();
+    std::vector<WorkerCapacity> &all();
     /** Workers that can be used. */
     std::size_t usableCount() const;
     /** How often a room was read from the ledger and its view. */
     std::uint64_t reads() const;
     /** The plan has changed something of the room by itself: the next one reads it again. */
-    void touch(Room &room);
+    void markModified(WorkerCapacity &room);
     /** Some worker has room for a task of the step, bounds and labels aside. What fits nowhere now won't later in the plan. */
-    bool hasRoomFor(std::string_view service, const work::StepSpecT &step);
+    bool hasCapacityFor(std::string_view service, const work::StepSpecT &step);
     /**
      * Gives usable rooms to @p visit, those in the step's home first and then those in its reserve, until it returns false.
      * Rooms of one data centre come in the order of all().
      */
     template<typename Visit>
-    void visitFromHome(const WantedStep &wanted, Visit visit)
+    void visitByPreference(const PendingStep &wanted, Visit visit)
     {
         const auto visitCentre = [&](std::uint32_t dataCentre) {
             for (const std::uint32_t number : this->byDataCentre[dataCentre]) {
-                if (this->rooms[number].isUsable && !visit(this->rooms[number])) {
+                if (this->entries[number].isUsable && !visit(this->entries[number])) {
                     return false;
                 }
             }
             return true;
         };
-        for (const std::uint32_t first : {wanted.home, wanted.reserve}) {
-            if (first != noHome && !visitCentre(first)) {
+        for (const std::uint32_t first : {wanted.preferredDataCentre, wanted.fallbackDataCentre}) {
+            if (first != noDataCentre && !visitCentre(first)) {
                 return;
             }
         }
         for (std::uint32_t dataCentre = 0; dataCentre < this->byDataCentre.size(); ++dataCentre) {
-            if (dataCentre != wanted.home && dataCentre != wanted.reserve && !visitCentre(dataCentre)) {
+            if (dataCentre != wanted.preferredDataCentre && dataCentre != wanted.fallbackDataCentre && !visitCentre(dataCentre)) {
                 return;
             }
         }
     }
     /** Rooms that the policy service has told about for the step, in the order of all(). */
-    const std::vector<std::uint32_t> &told() const;
+    const std::vector<std::uint32_t> &advisedWorkers() const;
     /** Null if the worker can't be used. */
-    Room *find(const workload::Life &worker);
+    WorkerCapacity *find(const workload::Incarnation &worker);
     /** By the worker's number in the advice book. */
-    Room *findAdvised(std::uint32_t adviceNumber);
-    void take(Room &room, const work::StepSpecT &step, std::int64_t tasks = 1);
+    WorkerCapacity *findByAdviceNumber(std::uint32_t adviceNumber);
+    void reserve(WorkerCapacity &room, const work::StepSpecT &step, std::int64_t tasks = 1);
     /** Counts a task of the step that is being planned; -1 takes it back. */
-    void countTask(Room &room, std::int32_t tasks);
+    void countTask(WorkerCapacity &room, std::int32_t tasks);
     /** Where most tasks of the step are that is being planned; noHome if it has none on a worker. */
     std::uint32_t dataCentreOfStep() const;
     /** noHome if no worker of that name, or rack, can be used. */
@@ -107,9 +107,9 @@
     std::uint32_t dataCentreOfRack(std::string_view rack) const;
     std::string_view dataCentreName(std::uint32_t dataCentre) const;
     /** At least half of its workers can be used: it isn't cut off. */
-    bool isSound(std::uint32_t dataCentre) const;
+    bool isHealthy(std::uint32_t dataCentre) const;
     /** Tasks of the step that fit into each data centre, whatever the policy service says; O(workers). */
-    std::vector<std::int64_t> slotsFor(const WantedStep &wanted) const;
+    std::vector<std::int64_t> slotsFor(const PendingStep &wanted) const;
     /** Number of a service; one that no worker offers has none of the workers' numbers. */
     std::uint32_t serviceNumber(std::string_view service) const;
 
@@ -127,29 +127,29 @@
     void rebuild(Timestamp now);
     /** Reads what has changed since the last plan. @return false if all has to be read anew */
     bool readChanges(Timestamp now);
-    void readInTurn(Timestamp now);
+    void readRoundRobin(Timestamp now);
     /** Reads one worker again, which may have come or gone. @return false if it needs a number for its data centre */
-    bool read(Timestamp now, const workload::Life &life);
+    bool read(Timestamp now, const workload::Incarnation &life);
     /** Reads a room whose worker is known to be there. */
     void read(Timestamp now, std::uint32_t number);
-    void add(const workload::Life &life, const workload::Worker &worker, std::uint32_t dataCentre);
-    void remove(const workload::Life &life);
-    bool isUsable(Timestamp now, const Room &room) const;
-    void setUsable(Room &room, bool isUsable);
+    void add(const workload::Incarnation &life, const workload::Worker &worker, std::uint32_t dataCentre);
+    void remove(const workload::Incarnation &life);
+    bool isUsable(Timestamp now, const WorkerCapacity &room) const;
+    void setUsable(WorkerCapacity &room, bool isUsable);
     /** Late answers make workers unusable, unless most of them owe one. */
-    void judgeOverdue(Timestamp now);
-    std::uint32_t numberOfService(const std::string &name);
+    void updateOverduePolicy(Timestamp now);
+    std::uint32_t addService(const std::string &name);
     /** Drops what was noted for the step that was planned last. */
-    void forgetStep();
-    void countTasks(const WantedStep &wanted);
+    void clearStep();
+    void countTasks(const PendingStep &wanted);
 
     const workload::Workload &state;
     const execution::WorkerViews &views;
-    AdviceBook &advice;
+    AdviceCache &adviceCache;
     // Invariant: holds each worker of the ledger once; a room whose worker has gone is empty until another takes its number.
-    std::vector<Room> rooms;
-    std::vector<std::uint32_t> emptyRooms;
-    absl::flat_hash_map<workload::Life, std::uint32_t, workload::LifeHash> byWorker;
+    std::vector<WorkerCapacity> entries;
+    std::vector<std::uint32_t> vacantEntries;
+    absl::flat_hash_map<workload::Incarnation, std::uint32_t, workload::IncarnationHash> byWorker;
     /** Numbers of rooms, in rising order. */
     std::vector<std::vector<std::uint32_t>> byDataCentre;
     std::vector<std::uint32_t> byAdviceNumber;
@@ -160,25 +160,25 @@
     /** Workers of each data centre that can be used. */
     std::vector<std::uint32_t> usableWorkers;
     std::size_t overdueWorkers = 0;
-    bool mayAvoidOverdue = true;
-    workload::ChangeLog<workload::Life>::Position readUntil = 0;
+    bool excludesOverdue = true;
+    workload::ChangeLog<workload::Incarnation>::Position readUntil = 0;
     /** Each once, however long no plan is made. */
-    absl::flat_hash_set<workload::Life, workload::LifeHash> changedViews;
+    absl::flat_hash_set<workload::Incarnation, workload::IncarnationHash> changedViews;
     /** Rooms by the time at which time alone changes them. */
-    execution::DueQueue<std::uint32_t> dueRooms;
+    execution::TimerQueue<std::uint32_t> refreshTimers;
     /** Rooms that a plan has changed. */
-    std::vector<std::uint32_t> touched;
-    std::size_t nextInTurn = 0;
+    std::vector<std::uint32_t> modified;
+    std::size_t nextRoundRobin = 0;
     std::uint64_t readCount = 0;
     /** Rooms with superseded runs. */
     std::set<std::uint32_t> withSuperseded;
     std::vector<Shortage> shortages;
     /** Where a task was found to fit last: the next one often does as well. */
-    std::uint32_t lastFit = 0;
+    std::uint32_t lastFitting = 0;
     /** Rooms that hold something of the step that is being planned. */
-    std::vector<std::uint32_t> ofStep;
-    std::vector<std::uint32_t> toldOfStep;
-    bool isComingCounted = false;
+    std::vector<std::uint32_t> countedForStep;
+    std::vector<std::uint32_t> advisedForStep;
+    bool isReleasingCounted = false;
 };
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/rooms_test.cpp
+++ b/paddlepier/planning/capacityindex_test.cpp
@@ -1,6 +1,6 @@
 // Rooms that are kept from plan to plan: they are what a reading of the whole cell finds, and cost what has changed.
 
-#include "paddlepier/planning/rooms.h"
+#include "paddlepier/planning/capacityindex.h"
 
 #include "paddlepier/planning/fakecell.h"
 
@@ -24,43 +24,43 @@
         , kept(this->cell.state, this->cell.views, this->cell.advice)
     {
         this->cell.fill(std::size_t{6} * workers);
-        this->kept.collect(this->cell.now);
+        this->kept.refresh(this->cell.now);
     }
 
     /** What a plan may go by, one line for each worker, in the order of their names. */
-    std::vector<std::string> linesOf(Rooms &rooms)
+    std::vector<std::string> linesOf(CapacityIndex &rooms)
     {
         std::vector<std::string> lines;
         for (const auto &[life, worker] : this->cell.state.workers()) {
-            const Room *room = rooms.find(life);
+            const WorkerCapacity *room = rooms.find(life);
             lines.push_back(room == nullptr ? life.text() + " unusable"
                                             : absl::StrCat(life.text(),
                                                            " ",
-                                                           room->processors,
+                                                           room->freeProcessors,
                                                            " ",
-                                                           room->memory,
+                                                           room->freeMemory,
                                                            " ",
-                                                           room->comingProcessors,
+                                                           room->releasingProcessors,
                                                            " ",
                                                            room->isOnProbation ? "probation " : "",
-                                                           room->standing == Standing::Unasked ? "" : "told of an earlier step ",
-                                                           room->isKeptApart || room->suspects > 0 || room->isOfStep ? "of an earlier plan " : "",
+                                                           room->adviceStatus == AdviceStatus::NotRequested ? "" : "told of an earlier step ",
+                                                           room->isIsolated || room->suspectRuns > 0 || room->isCountedForStep ? "of an earlier plan " : "",
                                                            std::string(rooms.dataCentreName(room->dataCentre))));
         }
         for (const char *name : {"d0", "d1", "d2", "d3"}) {
-            lines.push_back(absl::StrCat(name, rooms.isSound(rooms.dataCentreNamed(name)) ? " sound" : " unsound"));
+            lines.push_back(absl::StrCat(name, rooms.isHealthy(rooms.dataCentreNamed(name)) ? " sound" : " unsound"));
         }
         return lines;
     }
 
     std::vector<std::string> linesReadAnew()
     {
-        Rooms anew(this->cell.state, this->cell.views, this->cell.advice);
-        anew.collect(this->cell.now);
+        CapacityIndex anew(this->cell.state, this->cell.views, this->cell.advice);
+        anew.refresh(this->cell.now);
         return this->linesOf(anew);
     }
 
-    workload::Life anyWorker()
+    workload::Incarnation anyWorker()
     {
         auto worker = this->cell.state.workers().begin();
         std::advance(worker, static_cast<std::ptrdiff_t>(this->cell.random() % this->cell.state.workers().size()));
@@ -75,13 +75,13 @@
         registration.service = "pool";
         registration.labels = {"a", "r9"};
         registration.capacity = std::make_unique<work::Demand>(16'000, 65'536, 0);
-        auto &view = this->cell.views.try_emplace(workload::lifeOf(registration), this->cell.now, absl::Seconds(10)).first->second;
-        view.noteAnswer(this->cell.now, 1000);
-        this->kept.noteView(workload::lifeOf(registration));
+        auto &view = this->cell.views.try_emplace(workload::incarnationOf(registration), this->cell.now, absl::Seconds(10)).first->second;
+        view.recordAnswer(this->cell.now, 1000);
+        this->kept.markViewChanged(workload::incarnationOf(registration));
         this->cell.apply(std::move(registration));
     }
 
-    void leave(const workload::Life &life)
+    void leave(const workload::Incarnation &life)
     {
         for (auto track = this->cell.tracks.begin(); track != this->cell.tracks.end();) {
             track = track->second.worker == life ? this->cell.tracks.erase(track) : std::next(track);
@@ -94,30 +94,30 @@
     }
 
     /** Something that happens to one worker's view. */
-    void changeView(const workload::Life &life)
+    void changeView(const workload::Incarnation &life)
     {
         execution::WorkerView &view = this->cell.views.at(life);
         switch (this->cell.random() % 5) {
         case 0:
-            view.noteSilence(this->cell.now);
+            view.recordFailedCall(this->cell.now);
             break;
         case 1:
-            view.noteAnswer(this->cell.now, std::nullopt);
+            view.recordAnswer(this->cell.now, std::nullopt);
             break;
         case 2:
-            view.noteCall(this->cell.random(), this->cell.now + absl::Milliseconds(20));
+            view.recordCall(this->cell.random(), this->cell.now + absl::Milliseconds(20));
             break;
         case 3:
-            view.noteFailedRun(this->cell.now);
+            view.recordFailedRun(this->cell.now);
             break;
         default:
             view.startsBlockedUntil = this->cell.now + absl::Milliseconds(30);
         }
-        this->kept.noteView(life);
+        this->kept.markViewChanged(life);
     }
 
     FakeCell cell;
-    Rooms kept;
+    CapacityIndex kept;
 };
 
 class LargeRoomsFixture : public RoomsFixture
@@ -134,7 +134,7 @@
 TEST_CASE_METHOD(RoomsFixture, "rooms_throughAllThatHappensToWorkers_areWhatAReadingOfTheCellFinds")
 {
     for (int round = 0; round < 400; ++round) {
-        this->cell.pass(absl::Milliseconds(10));
+        this->cell.advance(absl::Milliseconds(10));
         const std::uint64_t event = this->cell.random() % 40;
         if (event == 0) {
             this->join(absl::StrCat("new-", round), absl::StrCat("d", round % 4));
@@ -148,41 +148,41 @@
         } else if (event < 6) {
             this->cell.endRuns(0.02);
         } else if (event < 12) {
-            this->cell.carryOut(this->cell.plan());
+            this->cell.execute(this->cell.plan());
             this->cell.addWaitingSteps(2);
         } else {
             this->changeView(this->anyWorker());
         }
         // A plan takes room and marks workers; none of that is left to the next one.
-        this->kept.collect(this->cell.now);
+        this->kept.refresh(this->cell.now);
         REQUIRE(this->linesOf(this->kept) == this->linesReadAnew());
-        Room &room = this->kept.all()[this->cell.random() % this->kept.all().size()];
+        WorkerCapacity &room = this->kept.all()[this->cell.random() % this->kept.all().size()];
         if (room.isUsable && !this->cell.state.waitingJobs().empty()) {
             const workload::Job &job = *this->cell.state.findJob(*this->cell.state.waitingJobs().begin());
-            WantedStep wanted;
+            PendingStep wanted;
             wanted.job = &job;
             wanted.key = {job.id(), 0, 0};
             wanted.step = &job.stepSpec(0);
             wanted.progress = &job.occurrences()[0].steps[0];
             this->kept.beginStep(this->cell.now, wanted);
             this->kept.countTask(room, 1);
-            this->kept.touch(room);
-            room.comingProcessors += 500;
-            room.isKeptApart = true;
+            this->kept.markModified(room);
+            room.releasingProcessors += 500;
+            room.isIsolated = true;
         }
     }
 }
 
 TEST_CASE_METHOD(RoomsFixture, "workerWhoseChangeNobodyTold_isReadInTurn")
 {
-    const workload::Life life = this->anyWorker();
-    this->cell.views.at(life).noteAnswer(this->cell.now, std::nullopt);
-    this->kept.noteView(life);
-    this->kept.collect(this->cell.now);
+    const workload::Incarnation life = this->anyWorker();
+    this->cell.views.at(life).recordAnswer(this->cell.now, std::nullopt);
+    this->kept.markViewChanged(life);
+    this->kept.refresh(this->cell.now);
     const bool wasUsable = this->kept.find(life) != nullptr;
-    this->cell.views.at(life).noteSilence(this->cell.now);
+    this->cell.views.at(life).recordFailedCall(this->cell.now);
     for (std::size_t plan = 0; plan < this->cell.state.workers().size(); ++plan) {
-        this->kept.collect(this->cell.now);
+        this->kept.refresh(this->cell.now);
     }
     CHECK(wasUsable);
     CHECK(this->kept.find(life) == nullptr);
@@ -192,8 +192,8 @@
 {
     const std::uint64_t before = this->kept.reads();
     for (int round = 0; round < 10; ++round) {
-        this->kept.noteView(this->anyWorker());
-        this->kept.collect(this->cell.now);
+        this->kept.markViewChanged(this->anyWorker());
+        this->kept.refresh(this->cell.now);
     }
     // One that has changed, and a 128th of the others in turn.
     CHECK(this->kept.reads() - before <= std::uint64_t{10} * (1 + 1500 / 100));
@@ -203,15 +203,15 @@
 {
     work::StepSpecT step;
     step.demand = std::make_unique<work::Demand>(100'000, 100, 0);
-    CHECK_FALSE(this->kept.hasRoomFor("pool", step));
+    CHECK_FALSE(this->kept.hasCapacityFor("pool", step));
     step.demand = std::make_unique<work::Demand>(120'000, 200, 0);
-    CHECK_FALSE(this->kept.hasRoomFor("pool", step));
-    CHECK_FALSE(this->kept.hasRoomFor("none", step));
+    CHECK_FALSE(this->kept.hasCapacityFor("pool", step));
+    CHECK_FALSE(this->kept.hasCapacityFor("none", step));
     step.demand = std::make_unique<work::Demand>(100, 100, 0);
-    CHECK(this->kept.hasRoomFor("pool", step));
+    CHECK(this->kept.hasCapacityFor("pool", step));
     step.isFilling = true;
     step.demand = std::make_unique<work::Demand>(100'000, 100, 0);
-    CHECK(this->kept.hasRoomFor("pool", step));
+    CHECK(this->kept.hasCapacityFor("pool", step));
 }
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/homes.h
+++ b/paddlepier/planning/datacentreselector.h
@@ -14,10 +14,10 @@
 //
 // Thread safety: none; owned by the planner. Cost: of() is O(log steps), and O(workers) once for each step.
 
-#ifndef PADDLEPIER_PLANNING_HOMES_H
-#define PADDLEPIER_PLANNING_HOMES_H
+#ifndef PADDLEPIER_PLANNING_DATACENTRESELECTOR_H
+#define PADDLEPIER_PLANNING_DATACENTRESELECTOR_H
 
-#include "paddlepier/planning/rooms.h"
+#include "paddlepier/planning/capacityindex.h"
 #include "paddlepier/planning/suitability.h"
 #include "paddlepier/workload/taskkey.h"
 
@@ -31,37 +31,37 @@
 {
 
 /** Numbers of data centres in the plan at hand. */
-struct Home {
-    std::uint32_t first = noHome;
+struct DataCentreChoice {
+    std::uint32_t preferred = noDataCentre;
     /** For what doesn't fit there. */
-    std::uint32_t reserve = noHome;
+    std::uint32_t fallback = noDataCentre;
 };
 
-class Homes
+class DataCentreSelector
 {
 public:
     /** @param permittedShare  share of the workers that is likely to be permitted */
-    Home of(const WantedStep &wanted, const Rooms &rooms, double permittedShare);
+    DataCentreChoice select(const PendingStep &wanted, const CapacityIndex &rooms, double permittedShare);
 
     /** Drops what is known of jobs that @p isOver says to have ended; O(steps). */
     template<typename Predicate>
-    void forgetJobs(Predicate isOver)
+    void removeEndedJobs(Predicate isOver)
     {
         std::erase_if(this->chosen, [&isOver](const auto &entry) { return isOver(entry.first.job); });
     }
 
 private:
     /** By name, since the numbers change from plan to plan. */
-    struct Choice {
-        std::string first;
-        std::string reserve;
+    struct NamedChoice {
+        std::string preferred;
+        std::string fallback;
     };
 
-    static Choice choose(const WantedStep &wanted, const Rooms &rooms, double permittedShare);
+    static NamedChoice choose(const PendingStep &wanted, const CapacityIndex &rooms, double permittedShare);
     /** Data centres that would suit @p wanted for another reason than their room, the best first; some may not be there. */
-    static std::vector<std::string_view> preferred(const WantedStep &wanted, const Rooms &rooms);
+    static std::vector<std::string_view> preferredNames(const PendingStep &wanted, const CapacityIndex &rooms);
 
-    std::map<workload::StepKey, Choice> chosen;
+    std::map<workload::StepKey, NamedChoice> chosen;
 };
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/eligibility.h
+++ b/paddlepier/planning/eligibility.h
@@ -20,19 +20,19 @@
 {
 
 /** Failed ends in a row after which a worker gets no work for a while; one alone may be the task's own fault. */
-constexpr std::uint32_t suspiciousFailures = 2;
+constexpr std::uint32_t suspectFailureThreshold = 2;
 
 /** @param service  number of the step's service among the rooms */
-bool mayRun(const Room &room, const WantedStep &wanted, std::uint32_t service);
+bool mayRun(const WorkerCapacity &room, const PendingStep &wanted, std::uint32_t service);
 /** It hasn't failed too much lately, or is to show itself; and no task is proving itself there. */
-bool isAcceptable(const Room &room);
+bool isAcceptable(const WorkerCapacity &room);
 /** The same for a task that may have failed before. */
-bool isTrusted(const Room &room, const workload::Task &task);
+bool isTrustedFor(const WorkerCapacity &room, const workload::Task &task);
 /** One more task of the step keeps to the step's bound for each worker. */
-bool isBelowBound(const Room &room, const WantedStep &wanted);
+bool isBelowPerWorkerLimit(const WorkerCapacity &room, const PendingStep &wanted);
 
 /** A run of the step can be stopped and go on later without losing much: it saves its progress, and nothing depends on its staying. */
-bool losesLittleByAStop(const work::StepSpecT &step);
+bool isCheapToPreempt(const work::StepSpecT &step);
 
 } // namespace paddlepier::planning
 
--- a/paddlepier/planning/fakecell.h
+++ b/paddlepier/planning/fakecell.h
@@ -35,13 +35,13 @@
 public:
     FakeCell(std::uint64_t seed, std::uint32_t workerCount)
         : random(seed)
-        , planner(this->state, this->views, this->tracks, this->setbacks, this->advice, this->usualRatios)
+        , planner(this->state, this->views, this->tracks, this->taskBackoff, this->advice, this->typicalRatios)
     {
         this->configure();
         for (std::uint32_t number = 0; number < workerCount; ++number) {
             this->addWorker(number);
         }
-        this->usualRatios["long"] = 1.4;
+        this->typicalRatios["long"] = 1.4;
     }
 
     /** Submits jobs and puts their tasks anywhere with room until @p runs are under way, or room is short. */
@@ -49,8 +49,8 @@
     {
         std::size_t placed = 0;
         for (std::size_t tries = 0; placed < runs && tries < runs; ++tries) {
-            const std::string id = this->submit(this->chance(0.3) ? "quick" : this->anyQueue(), false);
-            placed += this->placeAnywhere(id, this->chance(0.98) ? 1.0 : 0.6);
+            const std::string id = this->submit(this->chance(0.3) ? "quick" : this->randomQueue(), false);
+            placed += this->placeRandomly(id, this->chance(0.98) ? 1.0 : 0.6);
         }
     }
 
@@ -58,19 +58,19 @@
     void addWaitingSteps(std::size_t steps)
     {
         for (std::size_t number = 0; number < steps; ++number) {
-            const std::string id = this->submit(this->anyQueue(), true);
+            const std::string id = this->submit(this->randomQueue(), true);
             const workload::Job &job = *this->state.findJob(id);
             const std::uint64_t kind = this->random() % 3;
             if (!job.queue().advice || kind == 0) {
                 continue;
             }
-            const std::uint64_t question = this->ask(job);
+            const std::uint64_t question = this->request(job);
             if (kind == 1) {
                 this->answer(question);
             }
         }
         // Some of the tickets are over.
-        this->pass(absl::Milliseconds(40));
+        this->advance(absl::Milliseconds(40));
     }
 
     Plan plan()
@@ -79,9 +79,9 @@
     }
 
     /** Carries a plan out: places, stops, and answers some of its questions. */
-    void carryOut(const Plan &plan)
+    void execute(const Plan &plan)
     {
-        for (const auto &[key, servedStep] : plan.preempted) {
+        for (const auto &[key, servedStep] : plan.preemptions) {
             this->tracks.at(key).phase = execution::RunPhase::Stopping;
         }
         work::PlaceRunsT command;
@@ -89,8 +89,8 @@
             command.placements.push_back(std::make_unique<work::PlacementT>(placement));
         }
         this->place(std::move(command));
-        for (const execution::AdviceQuestion &question : plan.questions) {
-            this->asked[question.id] = question.workers;
+        for (const execution::AdviceRequest &question : plan.adviceRequests) {
+            this->pendingQuestions[question.id] = question.workers;
             if (this->chance(0.5)) {
                 this->answer(question.id);
             }
@@ -100,13 +100,13 @@
     /** Answers all questions that await it. */
     void answerAll()
     {
-        for (const auto &[question, workers] : this->asked) {
+        for (const auto &[question, workers] : this->pendingQuestions) {
             this->answer(question);
         }
-        this->asked.clear();
+        this->pendingQuestions.clear();
     }
 
-    void pass(Duration duration)
+    void advance(Duration duration)
     {
         this->now += duration;
         this->wallMillis += absl::ToInt64Milliseconds(duration);
@@ -150,9 +150,9 @@
     workload::Workload state;
     execution::WorkerViews views;
     execution::RunTracks tracks;
-    execution::Setbacks setbacks;
-    AdviceBook advice;
-    std::map<std::string, double> usualRatios;
+    execution::TaskBackoff taskBackoff;
+    AdviceCache advice;
+    std::map<std::string, double> typicalRatios;
     Planner planner;
 
 private:
@@ -161,7 +161,7 @@
         return static_cast<double>(this->random() % 1000) < 1000 * share;
     }
 
-    std::uint32_t between(std::uint32_t least, std::uint32_t most)
+    std::uint32_t uniform(std::uint32_t least, std::uint32_t most)
     {
         return least + static_cast<std::uint32_t>(this->random() % (most - least + 1));
     }
@@ -203,22 +203,22 @@
         registration.zone = absl::StrCat("d", number % 3);
         registration.service = this->chance(0.97) ? "pool" : "other";
         registration.labels = {number % 3 == 0 ? "b" : "a", absl::StrCat("r", number % 3, "-", number / 36)};
-        registration.capacity = std::make_unique<work::Demand>(this->chance(0.5) ? 16'000 : 8000 * this->between(1, 4), 65'536, 0);
+        registration.capacity = std::make_unique<work::Demand>(this->chance(0.5) ? 16'000 : 8000 * this->uniform(1, 4), 65'536, 0);
         registration.isDraining = this->chance(0.02);
-        auto &view = this->views.try_emplace(workload::lifeOf(registration), this->now, absl::Seconds(10)).first->second;
-        view.noteAnswer(this->now, 1000);
+        auto &view = this->views.try_emplace(workload::incarnationOf(registration), this->now, absl::Seconds(10)).first->second;
+        view.recordAnswer(this->now, 1000);
         view.slowness = this->chance(0.1) ? 1.5 : 1.0;
         if (this->chance(0.03)) {
-            view.noteCall(1, this->now - absl::Seconds(1));
+            view.recordCall(1, this->now - absl::Seconds(1));
         }
-        const std::uint32_t failures = this->chance(0.05) ? this->between(1, 3) : 0;
+        const std::uint32_t failures = this->chance(0.05) ? this->uniform(1, 3) : 0;
         for (std::uint32_t failure = 0; failure < failures; ++failure) {
-            view.noteFailedRun(this->now - absl::Seconds(this->between(0, 6)));
+            view.recordFailedRun(this->now - absl::Seconds(this->uniform(0, 6)));
         }
         this->apply(std::move(registration));
     }
 
-    std::string anyQueue()
+    std::string randomQueue()
     {
         const std::uint64_t number = this->random() % 20;
         return number < 11 ? "quick" : number < 16 ? "long" : number < 18 ? "urgent" : "plain";
@@ -228,15 +228,15 @@
     {
         auto made = std::make_unique<work::StepSpecT>();
         const bool isLong = queue == "long";
-        made->count = isLong ? this->between(5, 34) : this->between(2, 19);
+        made->count = isLong ? this->uniform(5, 34) : this->uniform(2, 19);
         made->estimatedMillis = isLong ? 4800 : 800;
-        const std::uint32_t processors = this->between(300, 2000);
-        const std::uint32_t memory = this->between(200, 4000);
+        const std::uint32_t processors = this->uniform(300, 2000);
+        const std::uint32_t memory = this->uniform(200, 4000);
         made->demand = std::make_unique<work::Demand>(processors, memory, 0);
         made->isCheckpointing = isLong && this->chance(0.8);
         made->isGang = isLong && this->chance(0.15);
         made->prefersOneRack = made->isGang && this->chance(0.7);
-        made->mostPerWorker = this->chance(0.15) ? this->between(1, 2) : 0;
+        made->mostPerWorker = this->chance(0.15) ? this->uniform(1, 2) : 0;
         made->mayRunCopies = !made->isGang && this->chance(0.3);
         made->requiredLabel = this->chance(0.1) ? "b" : "";
         made->dataRack = this->chance(0.1) ? "r1-1" : "";
@@ -248,7 +248,7 @@
 
     std::string submit(const std::string &queue, bool isWaiting)
     {
-        this->pass(absl::Milliseconds(isWaiting ? 5 : 1));
+        this->advance(absl::Milliseconds(isWaiting ? 5 : 1));
         work::SubmitJobT command;
         // Ids against the order of age, as random ones are.
         command.id = absl::StrCat(absl::Hex(this->random(), absl::kZeroPad16));
@@ -266,26 +266,26 @@
     }
 
     /** One with room, if a few tries find one. */
-    std::string anyWorkerFor(const work::StepSpecT &step)
+    std::string randomWorkerFor(const work::StepSpecT &step)
     {
         constexpr int mostTries = 12;
-        if (this->lives.size() != this->state.workers().size()) {
-            this->lives.clear();
+        if (this->incarnations.size() != this->state.workers().size()) {
+            this->incarnations.clear();
             for (const auto &[life, worker] : this->state.workers()) {
-                this->lives.push_back(life);
+                this->incarnations.push_back(life);
             }
         }
-        const workload::Life *chosen = nullptr;
+        const workload::Incarnation *chosen = nullptr;
         for (int tries = 0; tries < mostTries; ++tries) {
-            chosen = &this->lives[this->random() % this->lives.size()];
-            if (this->state.findWorker(*chosen)->hasRoomFor(step)) {
+            chosen = &this->incarnations[this->random() % this->incarnations.size()];
+            if (this->state.findWorker(*chosen)->hasCapacityFor(step)) {
                 break;
             }
         }
         return chosen->id;
     }
 
-    std::size_t placeAnywhere(const std::string &id, double share)
+    std::size_t placeRandomly(const std::string &id, double share)
     {
         const workload::Job &job = *this->state.findJob(id);
         const work::StepSpecT &step = job.stepSpec(0);
@@ -295,7 +295,7 @@
                 auto &placement = command.placements.emplace_back(std::make_unique<work::PlacementT>());
                 placement->task = workload::TaskKey(id, 0, 0, index).record();
                 placement->run = 1;
-                placement->worker = this->anyWorkerFor(step);
+                placement->worker = this->randomWorkerFor(step);
             }
         }
         return this->place(std::move(command));
@@ -307,7 +307,7 @@
         for (const work::PlacementT &placed : outcome.placed) {
             const workload::TaskKey key(*placed.task);
             execution::RunTrack track;
-            track.worker = workload::lifeOf(placed);
+            track.worker = workload::incarnationOf(placed);
             track.run = placed.run;
             track.phase = this->chance(0.85) ? execution::RunPhase::Running : this->chance(0.5) ? execution::RunPhase::Starting : execution::RunPhase::Stopping;
             this->tracks[key] = track;
@@ -319,16 +319,16 @@
         return outcome.placed.size();
     }
 
-    std::uint64_t ask(const workload::Job &job)
+    std::uint64_t request(const workload::Job &job)
     {
-        std::vector<workload::Life> workers;
+        std::vector<workload::Incarnation> workers;
         for (const auto &[life, worker] : this->state.workers()) {
             if (this->chance(24.0 / static_cast<double>(this->state.workers().size()))) {
                 workers.push_back(life);
             }
         }
-        const execution::AdviceQuestion question = this->advice.ask(this->now, {job.id(), 0, 0}, job.queue().name, workers, *job.queue().advice);
-        this->asked[question.id] = workers;
+        const execution::AdviceRequest question = this->advice.request(this->now, {job.id(), 0, 0}, job.queue().name, workers, *job.queue().advice);
+        this->pendingQuestions[question.id] = workers;
         return question.id;
     }
 
@@ -336,19 +336,19 @@
     {
         execution::AdviceAnswer answer;
         answer.isAnswered = this->chance(0.9);
-        for (const workload::Life &worker : this->asked[question]) {
+        for (const workload::Incarnation &worker : this->pendingQuestions[question]) {
             if (this->chance(0.6)) {
-                answer.good.emplace_back();
-                answer.good.back().worker = worker.id;
-                answer.good.back().ticket = "ticket";
+                answer.tickets.emplace_back();
+                answer.tickets.back().worker = worker.id;
+                answer.tickets.back().ticket = "ticket";
             }
         }
-        this->advice.answer(this->now, question, answer);
+        this->advice.recordAnswer(this->now, question, answer);
     }
 
-    std::map<std::uint64_t, std::vector<workload::Life>> asked;
+    std::map<std::uint64_t, std::vector<workload::Incarnation>> pendingQuestions;
     /** Of all workers, in the order of the ledger. */
-    std::vector<workload::Life> lives;
+    std::vector<workload::Incarnation> incarnations;
 };
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/loadreplay.h
+++ b/paddlepier/planning/loadreplay.h
@@ -48,26 +48,26 @@
     LoadReplay(std::uint64_t seed, LoadPattern loadPattern)
         : random(seed)
         , pattern(std::move(loadPattern))
-        , planner(this->state, this->views, this->tracks, this->setbacks, this->advice, this->usualRatios)
+        , planner(this->state, this->views, this->tracks, this->taskBackoff, this->advice, this->typicalRatios)
     {
         this->configure();
         for (std::uint32_t number = 0; number < this->pattern.workers; ++number) {
             this->addWorker(number);
         }
         for (std::size_t kind = 0; kind < this->pattern.kinds.size(); ++kind) {
-            this->nextArrival.push_back(this->now + this->pause(kind));
+            this->nextArrival.push_back(this->now + this->interarrivalTime(kind));
         }
     }
 
     void run(Duration duration)
     {
         for (const Timestamp end = this->now + duration; this->now < end; this->now += tick) {
-            this->arrive();
-            this->playCut();
+            this->submitArrivals();
+            this->applyPartition();
             this->endRuns();
             this->answerQuestions();
-            this->listProgress();
-            this->carryOut(this->planner.plan(this->now, this->wallMillis(), this->budget()));
+            this->reportProgress();
+            this->execute(this->planner.plan(this->now, this->wallMillis(), this->budget()));
         }
     }
 
@@ -85,7 +85,7 @@
     }
 
     /** Share of the queue's jobs that ended within their objective; those that may still make it don't count. */
-    double inTime(const std::string &queue) const
+    double inTimeShare(const std::string &queue) const
     {
         double met = 0;
         double missed = 0;
@@ -99,7 +99,7 @@
     }
 
     /** The same for jobs that were submitted in a span of the replay's time. */
-    double inTime(const std::string &queue, Duration from, Duration to) const
+    double inTimeShare(const std::string &queue, Duration from, Duration to) const
     {
         double met = 0;
         double all = 0;
@@ -112,7 +112,7 @@
     }
 
     /** Mean number of data centres in which the tasks of a job of the queue have run. */
-    double dataCentresTouched(const std::string &queue) const
+    double meanDataCentresPerJob(const std::string &queue) const
     {
         double touched = 0;
         double started = 0;
@@ -127,7 +127,7 @@
     /** Processor seconds of work that was done but not saved when its run was stopped. */
     double lostProcessorSeconds() const
     {
-        return this->lost;
+        return this->lostWork;
     }
 
     std::size_t questions() const
@@ -165,7 +165,7 @@
 
     struct RunLog {
         std::uint32_t run = 0;
-        workload::Life worker;
+        workload::Incarnation worker;
         Timestamp workSince;
         /** Work done in earlier runs. */
         Duration saved;
@@ -173,7 +173,7 @@
     };
 
     struct Question {
-        execution::AdviceQuestion asked;
+        execution::AdviceRequest asked;
         Timestamp answerAt;
     };
 
@@ -187,7 +187,7 @@
         return std::uniform_real_distribution<double>(0, 1)(this->random);
     }
 
-    Duration pause(std::size_t kind)
+    Duration interarrivalTime(std::size_t kind)
     {
         return absl::Seconds(std::exponential_distribution<double>(this->pattern.kinds[kind].jobsPerSecond)(this->random));
     }
@@ -229,28 +229,28 @@
         registration.service = "pool";
         registration.labels = {"a", absl::StrCat("r", number % this->pattern.dataCentres)};
         registration.capacity = std::make_unique<work::Demand>(this->pattern.milliProcessors, this->pattern.memoryMegabytes, this->pattern.accelerators);
-        this->views.try_emplace(workload::lifeOf(registration), this->now, absl::Seconds(10)).first->second.noteAnswer(this->now, 1000);
+        this->views.try_emplace(workload::incarnationOf(registration), this->now, absl::Seconds(10)).first->second.recordAnswer(this->now, 1000);
         this->apply(std::move(registration));
     }
 
     /** Who is free to ask may do so; of four askers one is kept for short questions. */
     PlanBudget budget() const
     {
-        if (this->pattern.askers == std::numeric_limits<std::size_t>::max()) {
+        if (this->pattern.adviceInstances == std::numeric_limits<std::size_t>::max()) {
             return {};
         }
-        const std::size_t underWay = this->asked.size();
-        const std::size_t forLong = this->pattern.askers * 3 / 4;
-        const std::size_t free = this->pattern.askers - std::min(underWay, this->pattern.askers);
+        const std::size_t underWay = this->pendingQuestions.size();
+        const std::size_t forLong = this->pattern.adviceInstances * 3 / 4;
+        const std::size_t free = this->pattern.adviceInstances - std::min(underWay, this->pattern.adviceInstances);
         return {{forLong - std::min(underWay, forLong), absl::Milliseconds(50) * free}};
     }
 
-    void arrive()
+    void submitArrivals()
     {
         for (std::size_t kind = 0; kind < this->pattern.kinds.size(); ++kind) {
             while (this->nextArrival[kind] <= this->now) {
                 this->submit(this->pattern.kinds[kind]);
-                this->nextArrival[kind] += this->pause(kind);
+                this->nextArrival[kind] += this->interarrivalTime(kind);
             }
         }
     }
@@ -263,12 +263,12 @@
         command.spec = std::make_unique<work::JobSpecT>();
         command.spec->callersDataCentre = absl::StrCat("d", this->random() % this->pattern.dataCentres);
         auto &step = command.spec->steps.emplace_back(std::make_unique<work::StepSpecT>());
-        step->count = kind.leastTasks + static_cast<std::uint32_t>(this->random() % (kind.mostTasks - kind.leastTasks + 1));
+        step->count = kind.minTasks + static_cast<std::uint32_t>(this->random() % (kind.maxTasks - kind.minTasks + 1));
         step->isGang = kind.isGang;
-        step->isCheckpointing = this->uniform() < kind.saving;
+        step->isCheckpointing = this->uniform() < kind.checkpointingShare;
         const std::uint32_t accelerators = kind.accelerators[this->random() % kind.accelerators.size()];
         step->demand = std::make_unique<work::Demand>(kind.milliProcessors, kind.memoryMegabytes, accelerators);
-        const Duration work = absl::Milliseconds(kind.leastMillis + this->random() % (kind.mostMillis - kind.leastMillis + 1));
+        const Duration work = absl::Milliseconds(kind.minMillis + this->random() % (kind.maxMillis - kind.minMillis + 1));
         step->estimatedMillis = static_cast<std::uint32_t>(absl::ToInt64Milliseconds(work));
         JobLog job{kind.queue, this->now, {}, work};
         const Duration chain = work + absl::Milliseconds(kind.decisionMillis + 30 * kind.perWorkerMillis);
@@ -282,24 +282,25 @@
         return run.saved + std::max(absl::ZeroDuration(), std::min(this->now, run.stopsAt) - run.workSince);
     }
 
-    bool isCut(const workload::Life &worker) const
+    bool isPartitioned(const workload::Incarnation &worker) const
     {
-        const bool isTime = this->now >= this->begin + this->pattern.cut.at && this->now < this->begin + this->pattern.cut.at + this->pattern.cut.duration;
-        return isTime && this->state.findWorker(worker)->registration.zone == absl::StrCat("d", this->pattern.cut.dataCentre);
+        const bool isTime = this->now >= this->begin + this->pattern.partition.start
+                            && this->now < this->begin + this->pattern.partition.start + this->pattern.partition.duration;
+        return isTime && this->state.findWorker(worker)->registration.zone == absl::StrCat("d", this->pattern.partition.dataCentre);
     }
 
     /** The leader finds silent workers after an answer's patience, and hears of them again when the cut is over. */
-    void playCut()
+    void applyPartition()
     {
         for (auto &[id, view] : this->views) {
-            const bool isCutNow = this->isCut(id);
-            const bool isFound = isCutNow && this->now >= this->begin + this->pattern.cut.at + execution::answerPatience;
-            if (isFound && !view.isSilent()) {
-                view.noteSilence(this->now);
-                this->planner.noteView(id);
-            } else if (!isCutNow && view.isSilent()) {
-                view.noteAnswer(this->now, std::nullopt);
-                this->planner.noteView(id);
+            const bool isCutNow = this->isPartitioned(id);
+            const bool isFound = isCutNow && this->now >= this->begin + this->pattern.partition.start + execution::minAnswerTimeout;
+            if (isFound && !view.isUnresponsive()) {
+                view.recordFailedCall(this->now);
+                this->planner.markViewChanged(id);
+            } else if (!isCutNow && view.isUnresponsive()) {
+                view.recordAnswer(this->now, std::nullopt);
+                this->planner.markViewChanged(id);
             }
         }
     }
@@ -308,7 +309,7 @@
     {
         std::vector<workload::TaskKey> over;
         for (const auto &[key, run] : this->runs) {
-            if (this->isCut(run.worker)) {
+            if (this->isPartitioned(run.worker)) {
                 continue;
             }
             if (run.stopsAt <= this->now || this->workDone(run) >= this->jobs.at(key.job).work) {
@@ -322,7 +323,7 @@
             if (!isDone && step.isCheckpointing) {
                 this->savedWork[key] = this->workDone(run);
             } else if (!isDone) {
-                this->lost += absl::ToDoubleSeconds(this->workDone(run)) * step.demand->milliProcessors() / 1000;
+                this->lostWork += absl::ToDoubleSeconds(this->workDone(run)) * step.demand->milliProcessors() / 1000;
             }
             this->runs.erase(key);
             this->tracks.erase(key);
@@ -350,19 +351,21 @@
     void answerQuestions()
     {
         std::vector<Question> due;
-        std::copy_if(this->asked.begin(), this->asked.end(), std::back_inserter(due), [this](const Question &entry) { return entry.answerAt <= this->now; });
-        std::erase_if(this->asked, [this](const Question &entry) { return entry.answerAt <= this->now; });
+        std::copy_if(this->pendingQuestions.begin(), this->pendingQuestions.end(), std::back_inserter(due), [this](const Question &entry) {
+            return entry.answerAt <= this->now;
+        });
+        std::erase_if(this->pendingQuestions, [this](const Question &entry) { return entry.answerAt <= this->now; });
         for (const Question &question : due) {
             execution::AdviceAnswer answer;
             answer.isAnswered = true;
-            for (const workload::Life &worker : question.asked.workers) {
+            for (const workload::Incarnation &worker : question.asked.workers) {
                 if (this->isPermitted(question.asked.step.job, worker.id)) {
-                    answer.good.emplace_back();
-                    answer.good.back().worker = worker.id;
-                    answer.good.back().ticket = "ticket";
+                    answer.tickets.emplace_back();
+                    answer.tickets.back().worker = worker.id;
+                    answer.tickets.back().ticket = "ticket";
                 }
             }
-            this->advice.answer(this->now, question.asked.id, answer);
+            this->advice.recordAnswer(this->now, question.asked.id, answer);
         }
     }
 
@@ -374,15 +377,15 @@
             const std::string &queue = this->jobs.at(job).queue;
             const auto kind =
                 std::find_if(this->pattern.kinds.begin(), this->pattern.kinds.end(), [&queue](const LoadKind &entry) { return entry.queue == queue; });
-            found->second = this->uniform() < kind->permitted;
+            found->second = this->uniform() < kind->permittedShare;
         }
         return found->second;
     }
 
-    void listProgress()
+    void reportProgress()
     {
-        if (this->now >= this->nextListing) {
-            this->nextListing = this->now + pollInterval;
+        if (this->now >= this->nextReport) {
+            this->nextReport = this->now + pollInterval;
             for (const auto &[key, run] : this->runs) {
                 execution::RunTrack &track = this->tracks.at(key);
                 track.percent = static_cast<std::uint32_t>(100 * absl::FDivDuration(this->workDone(run), this->jobs.at(key.job).work));
@@ -397,15 +400,15 @@
         ++this->ticks;
     }
 
-    void carryOut(const Plan &plan)
+    void execute(const Plan &plan)
     {
-        for (const auto &[key, servedStep] : plan.preempted) {
+        for (const auto &[key, servedStep] : plan.preemptions) {
             this->tracks.at(key).phase = execution::RunPhase::Stopping;
             this->runs.at(key).stopsAt = std::min(this->runs.at(key).stopsAt, this->now + stopTime);
         }
-        for (const execution::AdviceQuestion &question : plan.questions) {
+        for (const execution::AdviceRequest &question : plan.adviceRequests) {
             ++this->questionCount;
-            this->asked.push_back({question, this->now + question.cost});
+            this->pendingQuestions.push_back({question, this->now + question.decisionTime});
         }
         work::PlaceRunsT command;
         for (const work::PlacementT &placement : plan.placements) {
@@ -422,18 +425,18 @@
         const auto saved = this->savedWork.find(key);
         const bool isResumed = saved != this->savedWork.end();
         this->runs[key] = {placed.run,
-                           workload::lifeOf(placed),
+                           workload::incarnationOf(placed),
                            this->now + (isResumed ? restoreTime : absl::ZeroDuration()),
                            isResumed ? saved->second : absl::ZeroDuration()};
         execution::RunTrack track;
-        track.worker = workload::lifeOf(placed);
+        track.worker = workload::incarnationOf(placed);
         track.run = placed.run;
         track.phase = execution::RunPhase::Running;
         track.placedAt = track.runningSince = track.progressAt = this->now;
         this->tracks[key] = std::move(track);
         JobLog &job = this->jobs.at(key.job);
         job.startedAt = std::min(job.startedAt, this->now);
-        job.dataCentres.insert(this->state.findWorker(workload::lifeOf(placed))->registration.zone);
+        job.dataCentres.insert(this->state.findWorker(workload::incarnationOf(placed))->registration.zone);
     }
 
     std::mt19937_64 random;
@@ -443,18 +446,18 @@
     workload::Workload state;
     execution::WorkerViews views;
     execution::RunTracks tracks;
-    execution::Setbacks setbacks;
-    AdviceBook advice;
-    std::map<std::string, double> usualRatios;
+    execution::TaskBackoff taskBackoff;
+    AdviceCache advice;
+    std::map<std::string, double> typicalRatios;
     Planner planner;
     std::vector<Timestamp> nextArrival;
     std::map<std::string, JobLog> jobs;
     std::map<workload::TaskKey, RunLog> runs;
     std::map<workload::TaskKey, Duration> savedWork;
     std::map<std::pair<std::string, std::string>, bool> permissions;
-    std::vector<Question> asked;
-    Timestamp nextListing = absl::InfinitePast();
-    double lost = 0;
+    std::vector<Question> pendingQuestions;
+    Timestamp nextReport = absl::InfinitePast();
+    double lostWork = 0;
     double endedWork = 0;
     double inUse = 0;
     std::size_t ticks = 0;
--- a/paddlepier/planning/loadreplay_test.cpp
+++ b/paddlepier/planning/loadreplay_test.cpp
@@ -27,8 +27,8 @@
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
             LoadReplay replay(seed, wideTasksPattern(load));
             replay.run(absl::Seconds(60));
-            served.wide += replay.inTime("wide") / seeds;
-            served.small += replay.inTime("small") / seeds;
+            served.wide += replay.inTimeShare("wide") / seeds;
+            served.small += replay.inTimeShare("small") / seeds;
             served.wideWait += replay.wait("wide", 0.9) / seeds;
         }
         return served;
@@ -54,13 +54,13 @@
         Served served;
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
             LoadPattern pattern = quickBesideLongPattern(1.0);
-            pattern.cut.at = cutAt;
+            pattern.partition.start = cutAt;
             LoadReplay replay(seed, pattern);
             replay.run(absl::Seconds(24));
-            served.dataCentres += replay.dataCentresTouched("quick") / seeds;
-            served.beforeCut += replay.inTime("quick", cutAt - absl::Milliseconds(1500), cutAt) / seeds;
-            served.all += replay.inTime("quick") / seeds;
-            served.longJobs += replay.inTime("long") / seeds;
+            served.dataCentres += replay.meanDataCentresPerJob("quick") / seeds;
+            served.beforeCut += replay.inTimeShare("quick", cutAt - absl::Milliseconds(1500), cutAt) / seeds;
+            served.all += replay.inTimeShare("quick") / seeds;
+            served.longJobs += replay.inTimeShare("long") / seeds;
         }
         return served;
     }
@@ -76,7 +76,7 @@
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
             LoadReplay replay(seed, longJobsPattern(load));
             replay.run(absl::Seconds(60));
-            share += replay.inTime("long") / seeds;
+            share += replay.inTimeShare("long") / seeds;
         }
         return share;
     }
--- a/paddlepier/planning/outlook.cpp
+++ b/paddlepier/planning/objectiveforecast.cpp
@@ -1,6 +1,6 @@
 // Whether a job can still meet its objective.
 
-#include "paddlepier/planning/outlook.h"
+#include "paddlepier/planning/objectiveforecast.h"
 
 #include <algorithm>
 #include <vector>
@@ -43,35 +43,37 @@
 
 } // namespace
 
-Prospect prospectOf(const workload::Job &job, std::uint32_t occurrence, std::int64_t wallMillis, double usualRatio)
+ObjectiveForecast forecastObjective(const workload::Job &job, std::uint32_t occurrence, std::int64_t wallMillis, double usualRatio)
 {
     const double chain = longestChain(job, usualRatio, [](std::uint32_t) { return true; });
     const std::vector<workload::Step> &steps = job.occurrences().at(occurrence).steps;
     const double objective = job.queue().stretch * chain + job.queue().targetLatencyMillis;
     const double age = static_cast<double>(wallMillis - std::max(job.submittedAtMillis(), job.dueMillis(occurrence)));
-    Prospect prospect;
+    ObjectiveForecast prospect;
     prospect.remainingMillis = longestChain(job, usualRatio, [&steps](std::uint32_t number) { return !steps[number].isDone(); });
     const double earliestEnd = age + prospect.remainingMillis;
     prospect.slackMillis = objective - earliestEnd;
-    prospect.usefulMillis = lateFactor * objective - earliestEnd;
-    prospect.outlook = prospect.slackMillis >= 0 ? Outlook::InTime : prospect.usefulMillis >= 0 ? Outlook::Late : Outlook::Hopeless;
+    prospect.lateSlackMillis = lateFactor * objective - earliestEnd;
+    prospect.status = prospect.slackMillis >= 0       ? ObjectiveStatus::InTime
+                      : prospect.lateSlackMillis >= 0 ? ObjectiveStatus::Late
+                                                      : ObjectiveStatus::Unattainable;
     return prospect;
 }
 
-Prospects::Prospects(const std::map<std::string, double> &usualRatiosByQueue)
-    : usualRatios(usualRatiosByQueue)
+ObjectiveForecaster::ObjectiveForecaster(const std::map<std::string, double> &usualRatiosByQueue)
+    : typicalRatios(usualRatiosByQueue)
 {
 }
 
-double Prospects::usualRatio(const std::string &queue) const
+double ObjectiveForecaster::typicalRatio(const std::string &queue) const
 {
-    const auto usual = this->usualRatios.find(queue);
-    return usual == this->usualRatios.end() ? 1.0 : usual->second;
+    const auto usual = this->typicalRatios.find(queue);
+    return usual == this->typicalRatios.end() ? 1.0 : usual->second;
 }
 
-Prospect Prospects::of(const workload::Job &job, std::uint32_t occurrence, std::int64_t wallMillis) const
+ObjectiveForecast ObjectiveForecaster::forecast(const workload::Job &job, std::uint32_t occurrence, std::int64_t wallMillis) const
 {
-    return prospectOf(job, occurrence, wallMillis, this->usualRatio(job.queue().name));
+    return forecastObjective(job, occurrence, wallMillis, this->typicalRatio(job.queue().name));
 }
 
 } // namespace paddlepier::planning
