--- a/paddlepier/planning/outlook_test.cpp
+++ b/paddlepier/planning/objectiveforecast_test.cpp
@@ -1,6 +1,6 @@
 // Whether a job can still meet its objective.
 
-#include "paddlepier/planning/outlook.h"
+#include "paddlepier/planning/objectiveforecast.h"
 
 #include <catch2/catch.hpp>
 
@@ -40,11 +40,11 @@
 TEST_CASE_METHOD(OutlookFixture, "outlook_ofAgeingJob_getsLateThenHopeless")
 {
     // Objective 2 x 3000 + 500; the longest chain takes 3000.
-    CHECK(prospectOf(this->job(), 0, 10'000, 1.0).outlook == Outlook::InTime);
-    CHECK(prospectOf(this->job(), 0, 10'000 + 3500, 1.0).outlook == Outlook::InTime);
-    CHECK(prospectOf(this->job(), 0, 10'000 + 3501, 1.0).outlook == Outlook::Late);
-    CHECK(prospectOf(this->job(), 0, 10'000 + 16'500, 1.0).outlook == Outlook::Late);
-    CHECK(prospectOf(this->job(), 0, 10'000 + 16'501, 1.0).outlook == Outlook::Hopeless);
+    CHECK(forecastObjective(this->job(), 0, 10'000, 1.0).status == ObjectiveStatus::InTime);
+    CHECK(forecastObjective(this->job(), 0, 10'000 + 3500, 1.0).status == ObjectiveStatus::InTime);
+    CHECK(forecastObjective(this->job(), 0, 10'000 + 3501, 1.0).status == ObjectiveStatus::Late);
+    CHECK(forecastObjective(this->job(), 0, 10'000 + 16'500, 1.0).status == ObjectiveStatus::Late);
+    CHECK(forecastObjective(this->job(), 0, 10'000 + 16'501, 1.0).status == ObjectiveStatus::Unattainable);
 }
 
 TEST_CASE_METHOD(OutlookFixture, "outlook_withAStepDone_countsOnlyWhatIsLeft")
@@ -52,13 +52,13 @@
     workload::Job job = this->job();
     job.place({job.id(), 0, 0, 0}, 1, {"w1"}, 1000);
     job.endRun({job.id(), 0, 0, 0}, 1, {"w1"}, work::RunEndKind::Done, "", 11'000);
-    CHECK(prospectOf(job, 0, 10'000 + 4500, 1.0).outlook == Outlook::InTime);
-    CHECK(prospectOf(job, 0, 10'000 + 4501, 1.0).outlook == Outlook::Late);
+    CHECK(forecastObjective(job, 0, 10'000 + 4500, 1.0).status == ObjectiveStatus::InTime);
+    CHECK(forecastObjective(job, 0, 10'000 + 4501, 1.0).status == ObjectiveStatus::Late);
 }
 
 TEST_CASE_METHOD(OutlookFixture, "outlook_whereRunsTakeLongerThanEstimated_isWidened")
 {
-    CHECK(prospectOf(this->job(), 0, 10'000 + 3501, 2.0).outlook == Outlook::InTime);
+    CHECK(forecastObjective(this->job(), 0, 10'000 + 3501, 2.0).status == ObjectiveStatus::InTime);
 }
 
 TEST_CASE_METHOD(OutlookFixture, "outlook_ofScheduledOccurrence_beginsWhenItIsDue")
@@ -66,9 +66,9 @@
     this->spec.repetitions = 2;
     this->spec.firstDueMillis = 50'000;
     this->spec.intervalMillis = 1000;
-    CHECK(prospectOf(this->job(), 0, 53'500, 1.0).outlook == Outlook::InTime);
-    CHECK(prospectOf(this->job(), 0, 53'501, 1.0).outlook == Outlook::Late);
-    CHECK(prospectOf(this->job(), 1, 54'500, 1.0).outlook == Outlook::InTime);
+    CHECK(forecastObjective(this->job(), 0, 53'500, 1.0).status == ObjectiveStatus::InTime);
+    CHECK(forecastObjective(this->job(), 0, 53'501, 1.0).status == ObjectiveStatus::Late);
+    CHECK(forecastObjective(this->job(), 1, 54'500, 1.0).status == ObjectiveStatus::InTime);
 }
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/plancost_test.cpp
+++ b/paddlepier/planning/plancost_test.cpp
@@ -22,7 +22,7 @@
         this->cell.addWaitingSteps(waitingSteps);
         for (int round = 0; round < 3; ++round) {
             const Plan plan = this->cell.plan();
-            this->cell.carryOut({plan.placements, {}, {}});
+            this->cell.execute({plan.placements, {}, {}});
         }
     }
 
@@ -38,11 +38,11 @@
         const PlanWork before = this->cell.planner.work();
         this->cell.plan();
         const PlanWork after = this->cell.planner.work();
-        return {after.roomsRead - before.roomsRead,
-                after.jobsPlacedInOrder - before.jobsPlacedInOrder,
-                after.stepsLookedAt - before.stepsLookedAt,
+        return {after.workersRead - before.workersRead,
+                after.jobsReordered - before.jobsReordered,
+                after.stepsExamined - before.stepsExamined,
                 after.stepsPlanned - before.stepsPlanned,
-                after.comingRooms - before.comingRooms};
+                after.capacityForecasts - before.capacityForecasts};
     }
 
     static constexpr std::uint32_t workers = 300;
@@ -56,15 +56,15 @@
 {
     REQUIRE(this->cell.state.waitingJobs().size() > 1500);
     const PlanWork work = this->workOfAPlanAfter(1);
-    CHECK(work.jobsPlacedInOrder <= 5);
-    CHECK(work.roomsRead <= workers);
+    CHECK(work.jobsReordered <= 5);
+    CHECK(work.workersRead <= workers);
     CHECK(work.stepsPlanned <= 100);
 }
 
 TEST_CASE_METHOD(BacklogFixture, "plan_withRoomForManyTasks_endsWhenAsMuchIsPlacedAsMayBe")
 {
     this->workOfAPlanAfter(400);
-    this->cell.pass(absl::Milliseconds(100));
+    this->cell.advance(absl::Milliseconds(100));
     const std::uint64_t before = this->cell.planner.work().stepsPlanned;
     const Plan plan = this->cell.planner.plan(this->cell.now, this->cell.wallMillis, {{}, 10});
     CHECK(plan.placements.size() >= 10);
--- a/paddlepier/planning/planner.cpp
+++ b/paddlepier/planning/planner.cpp
@@ -24,68 +24,69 @@
 Planner::Planner(const workload::Workload &workloadState,
                  const execution::WorkerViews &workerViews,
                  const execution::RunTracks &runTracks,
-                 const execution::Setbacks &setbacks,
-                 AdviceBook &book,
+                 const execution::TaskBackoff &setbacks,
+                 AdviceCache &book,
                  const std::map<std::string, double> &usualRatiosByQueue)
-    : advice(book)
-    , rooms(workloadState, workerViews, book)
-    , probation(workloadState, runTracks, setbacks, this->rooms)
-    , prospects(usualRatiosByQueue)
-    , order(workloadState, this->prospects)
-    , quotas(workloadState)
-    , keeper(workloadState, runTracks, this->prospects, this->rooms)
-    , asking(this->rooms, this->keeper, book)
-    , makingWay(workloadState, runTracks, this->prospects, this->rooms, book)
-    , waits(workloadState, setbacks, this->order, this->rooms, this->probation)
+    : adviceCache(book)
+    , capacityIndex(workloadState, workerViews, book)
+    , isolation(workloadState, runTracks, setbacks, this->capacityIndex)
+    , forecaster(usualRatiosByQueue)
+    , order(workloadState, this->forecaster)
+    , quotaTracker(workloadState)
+    , reserver(workloadState, runTracks, this->forecaster, this->capacityIndex)
+    , adviceRequester(this->capacityIndex, this->reserver, book)
+    , preemptor(workloadState, runTracks, this->forecaster, this->capacityIndex, book)
+    , waits(workloadState, setbacks, this->order, this->capacityIndex, this->isolation)
 {
 }
 
 Plan Planner::plan(Timestamp now, std::int64_t wallMillis, const PlanBudget &budget)
 {
     Plan plan;
-    this->asking.begin(budget.questions);
-    this->makingWay.begin(now, wallMillis);
+    this->adviceRequester.begin(budget.adviceBudget);
+    this->preemptor.begin(now, wallMillis);
     this->order.update(wallMillis);
     if (this->order.steps().empty()) {
         return plan;
     }
-    this->rooms.collect(now);
-    this->probation.begin(now);
-    this->quotas.begin();
-    this->keeper.begin(now, wallMillis);
-    for (const WaitingStep *waiting : this->stepsWorthALook(now)) {
+    this->capacityIndex.refresh(now);
+    this->isolation.begin(now);
+    this->quotaTracker.begin();
+    this->reserver.begin(now, wallMillis);
+    for (const WaitingStep *waiting : this->actionableSteps(now)) {
         if (plan.placements.size() >= budget.placements) {
             break;
         }
         const work::QueueSpecT &queue = waiting->job->queue();
         // The data centre of a step is chosen when it comes to wait, not when some piece of room happens to be free.
-        const bool isOpen = this->useOf(now, *waiting) != Use::None;
-        if (!isOpen && std::exchange(waiting->isHomeChosen, true)) {
+        const bool isOpen = this->actionFor(now, *waiting) != StepAction::None;
+        if (!isOpen && std::exchange(waiting->isDataCentreChosen, true)) {
             continue;
         }
-        WantedStep wanted = StepOrder::wantedStep(*waiting, wallMillis);
-        this->rooms.beginStep(now, wanted);
-        const Home home = this->homes.of(wanted, this->rooms, queue.advice ? this->advice.permittedShare(queue.name) : 1.0);
-        wanted.home = home.first;
-        wanted.reserve = home.reserve;
-        waiting->isHomeChosen = true;
+        PendingStep wanted = StepOrder::pendingStep(*waiting, wallMillis);
+        this->capacityIndex.beginStep(now, wanted);
+        const DataCentreChoice home =
+            this->dataCentreSelector.select(wanted, this->capacityIndex, queue.advice ? this->adviceCache.permittedShare(queue.name) : 1.0);
+        wanted.preferredDataCentre = home.preferred;
+        wanted.fallbackDataCentre = home.fallback;
+        waiting->isDataCentreChosen = true;
         if (isOpen) {
             ++this->plannedSteps;
             this->planStep(now, wanted, plan);
         }
     }
-    plan.preempted = this->makingWay.takePreempted();
+    plan.preemptions = this->preemptor.drainPreemptions();
     return plan;
 }
 
-void Planner::noteView(const workload::Life &worker)
+void Planner::markViewChanged(const workload::Incarnation &worker)
 {
-    this->rooms.noteView(worker);
+    this->capacityIndex.markViewChanged(worker);
 }
 
-std::vector<LongWait> Planner::lookForLongWaits(Timestamp now, std::int64_t wallMillis)
+std::vector<LongWait> Planner::findLongWaits(Timestamp now, std::int64_t wallMillis)
 {
-    return this->waits.look(now, wallMillis);
+    return this->waits.scan(now, wallMillis);
 }
 
 const LongWait *Planner::longWaitOf(const std::string &job) const
@@ -95,23 +96,23 @@
 
 PlanWork Planner::work() const
 {
-    return {this->rooms.reads(), this->order.placedJobs(), this->lookedAtSteps, this->plannedSteps, this->keeper.judgements()};
+    return {this->capacityIndex.reads(), this->order.reorderedJobs(), this->examinedSteps, this->plannedSteps, this->reserver.forecastCount()};
 }
 
-std::set<std::string> Planner::takeTeamsAtQuota()
+std::set<std::string> Planner::drainTeamsAtQuota()
 {
-    return this->quotas.takeTeamsAtQuota();
+    return this->quotaTracker.drainTeamsAtQuota();
 }
 
-std::vector<const WaitingStep *> Planner::stepsWorthALook(Timestamp now)
+std::vector<const WaitingStep *> Planner::actionableSteps(Timestamp now)
 {
     std::vector<const WaitingStep *> steps;
     std::size_t worth = 0;
     for (const WaitingStep &waiting : this->order.steps()) {
-        const Use use = this->useOf(now, waiting);
-        if (use != Use::None || !waiting.isHomeChosen) {
+        const StepAction use = this->actionFor(now, waiting);
+        if (use != StepAction::None || !waiting.isDataCentreChosen) {
             steps.push_back(&waiting);
-            worth = use == Use::Acts ? steps.size() : worth;
+            worth = use == StepAction::Schedule ? steps.size() : worth;
         }
     }
     // What comes after the last step that may act keeps room from nobody.
@@ -119,83 +120,83 @@
     return steps;
 }
 
-Planner::Use Planner::useOf(Timestamp now, const WaitingStep &waiting)
+Planner::StepAction Planner::actionFor(Timestamp now, const WaitingStep &waiting)
 {
     const work::QueueSpecT &queue = waiting.job->queue();
     const work::StepSpecT &step = waiting.step();
-    const bool hasRoom = this->rooms.hasRoomFor(queue.service, step);
-    const bool mayServe = this->makingWay.mayServe(queue.priority, waiting.prospect);
+    const bool hasRoom = this->capacityIndex.hasCapacityFor(queue.service, step);
+    const bool mayServe = this->preemptor.mayPreemptAnywhereFor(queue.priority, waiting.forecast);
     if (mayServe) {
-        return Use::Acts;
+        return StepAction::Schedule;
     }
-    const bool isWide = !step.isFilling && this->keeper.isWide(queue.service, step);
+    const bool isWide = !step.isFilling && this->reserver.isWide(queue.service, step);
     if (!hasRoom && !isWide) {
-        return Use::None;
+        return StepAction::None;
     }
     if (!queue.advice) {
-        return Use::Acts;
+        return StepAction::Schedule;
     }
-    ++this->lookedAtSteps;
-    const StepAdvice known = this->advice.about(now, waiting.key);
+    ++this->examinedSteps;
+    const StepAdvice known = this->adviceCache.adviceFor(now, waiting.key);
     const auto fits = [this, &step](std::uint32_t number) {
-        const Room *room = this->rooms.findAdvised(number);
+        const WorkerCapacity *room = this->capacityIndex.findByAdviceNumber(number);
         return room != nullptr && room->fits(step);
     };
-    if (this->asking.mayAsk(known, *queue.advice) || (known.mayHaveTicket && (isWide || this->advice.anyPermitted(now, waiting.key, fits)))) {
-        return Use::Acts;
+    if (this->adviceRequester.mayRequest(known, *queue.advice) || (known.mayHaveTicket && (isWide || this->adviceCache.anyPermitted(now, waiting.key, fits)))) {
+        return StepAction::Schedule;
     }
-    return known.isAsking || isWide ? Use::KeepsRoom : Use::None;
+    return known.isPending || isWide ? StepAction::ReserveOnly : StepAction::None;
 }
 
-void Planner::collectChoices(const WantedStep &wanted)
+void Planner::collectCandidates(const PendingStep &wanted)
 {
-    this->choices.clear();
-    const std::uint32_t service = this->rooms.serviceNumber(wanted.job->queue().service);
-    const auto add = [&](Room &room) {
+    this->candidates.clear();
+    const std::uint32_t service = this->capacityIndex.serviceNumber(wanted.job->queue().service);
+    const auto add = [&](WorkerCapacity &room) {
         if (room.fits(*wanted.step) && mayRun(room, wanted, service) && isAcceptable(room)) {
-            this->judge(this->choices.emplace_back(Choice{&room, 0}), wanted);
+            this->evaluate(this->candidates.emplace_back(Candidate{&room, 0}), wanted);
         }
     };
     if (wanted.job->queue().advice == nullptr) {
         const std::size_t enough = leastChoices + choicesPerTask * wanted.tasks.size();
-        this->rooms.visitFromHome(wanted, [&](Room &room) {
+        this->capacityIndex.visitByPreference(wanted, [&](WorkerCapacity &room) {
             add(room);
-            return this->choices.size() < enough;
+            return this->candidates.size() < enough;
         });
         return;
     }
-    std::vector<Room> &all = this->rooms.all();
-    for (const std::uint32_t number : this->rooms.told()) {
-        if (all[number].standing == Standing::Permitted) {
+    std::vector<WorkerCapacity> &all = this->capacityIndex.all();
+    for (const std::uint32_t number : this->capacityIndex.advisedWorkers()) {
+        if (all[number].adviceStatus == AdviceStatus::Permitted) {
             add(all[number]);
         }
     }
 }
 
-void Planner::judge(Choice &choice, const WantedStep &wanted) const
+void Planner::evaluate(Candidate &choice, const PendingStep &wanted) const
 {
-    const bool isOpen = choice.room->fits(*wanted.step) && isBelowBound(*choice.room, wanted);
-    choice.penalty = isOpen ? penaltyOf(*choice.room, wanted) : std::numeric_limits<double>::infinity();
+    const bool isOpen = choice.worker->fits(*wanted.step) && isBelowPerWorkerLimit(*choice.worker, wanted);
+    choice.penalty = isOpen ? penaltyOf(*choice.worker, wanted) : std::numeric_limits<double>::infinity();
 }
 
-void Planner::take(Choice &choice, const WantedStep &wanted, std::int32_t tasks)
+void Planner::reserve(Candidate &choice, const PendingStep &wanted, std::int32_t tasks)
 {
-    this->rooms.take(*choice.room, *wanted.step, tasks);
-    this->rooms.countTask(*choice.room, tasks);
-    this->judge(choice, wanted);
+    this->capacityIndex.reserve(*choice.worker, *wanted.step, tasks);
+    this->capacityIndex.countTask(*choice.worker, tasks);
+    this->evaluate(choice, wanted);
 }
 
-Planner::Choice *Planner::bestChoice(const WantedStep &wanted, std::uint32_t index, std::string_view rack)
+Planner::Candidate *Planner::bestCandidate(const PendingStep &wanted, std::uint32_t index, std::string_view rack)
 {
     const workload::Task &task = wanted.progress->tasks[index];
-    Choice *best = nullptr;
+    Candidate *best = nullptr;
     double least = std::numeric_limits<double>::infinity();
-    for (Choice &choice : this->choices) {
-        const double penalty = choice.penalty + Probation::penalty(*choice.room, task);
-        if (penalty >= least || (!rack.empty() && choice.room->rack() != rack) || !isTrusted(*choice.room, task)) {
+    for (Candidate &choice : this->candidates) {
+        const double penalty = choice.penalty + SuspectIsolation::penalty(*choice.worker, task);
+        if (penalty >= least || (!rack.empty() && choice.worker->rack() != rack) || !isTrustedFor(*choice.worker, task)) {
             continue;
         }
-        const auto &superseded = choice.room->worker->superseded;
+        const auto &superseded = choice.worker->record->superseded;
         if (!superseded.empty() && superseded.contains({wanted.key.job, wanted.key.occurrence, wanted.key.step, index})) {
             continue;
         }
@@ -205,7 +206,7 @@
     return best;
 }
 
-work::PlacementT Planner::placement(const WantedStep &wanted, std::uint32_t task, const workload::Life &worker)
+work::PlacementT Planner::placement(const PendingStep &wanted, std::uint32_t task, const workload::Incarnation &worker)
 {
     const workload::TaskKey key(wanted.key.job, wanted.key.occurrence, wanted.key.step, task);
     work::PlacementT made;
@@ -216,56 +217,56 @@
     return made;
 }
 
-void Planner::planStep(Timestamp now, WantedStep &wanted, Plan &plan)
+void Planner::planStep(Timestamp now, PendingStep &wanted, Plan &plan)
 {
-    this->probation.holdBack(now, wanted);
-    this->quotas.limit(wanted);
+    this->isolation.holdBack(now, wanted);
+    this->quotaTracker.limit(wanted);
     if (wanted.tasks.empty()) {
         return;
     }
-    this->collectChoices(wanted);
+    this->collectCandidates(wanted);
     const std::size_t waiting = wanted.tasks.size();
     if (wanted.step->isGang) {
         this->planGang(wanted, plan);
     } else {
         this->placeSingly(wanted, plan);
     }
-    this->quotas.take(wanted, waiting - wanted.tasks.size());
+    this->quotaTracker.reserve(wanted, waiting - wanted.tasks.size());
     if (wanted.tasks.empty()) {
         return;
     }
-    const std::vector<ComingRoom> coming = this->keeper.keepFor(wanted);
+    const std::vector<FutureCapacity> coming = this->reserver.reserveFor(wanted);
     if (wanted.job->queue().advice) {
-        std::optional<execution::AdviceQuestion> question = this->asking.ask(now, wanted, coming);
+        std::optional<execution::AdviceRequest> question = this->adviceRequester.request(now, wanted, coming);
         if (question) {
-            plan.questions.push_back(std::move(*question));
+            plan.adviceRequests.push_back(std::move(*question));
         }
     }
-    this->makingWay.makeRoom(wanted, coming);
+    this->preemptor.preemptFor(wanted, coming);
 }
 
-void Planner::placeSingly(WantedStep &wanted, Plan &plan)
+void Planner::placeSingly(PendingStep &wanted, Plan &plan)
 {
     std::vector<std::uint32_t> left;
     for (const std::uint32_t index : wanted.tasks) {
-        Choice *choice = this->bestChoice(wanted, index, "");
+        Candidate *choice = this->bestCandidate(wanted, index, "");
         if (choice == nullptr) {
             left.push_back(index);
             continue;
         }
-        this->take(*choice, wanted, 1);
-        this->probation.noteStart(*choice->room, wanted.progress->tasks[index], *wanted.step);
-        plan.placements.push_back(placement(wanted, index, choice->room->life()));
+        this->reserve(*choice, wanted, 1);
+        this->isolation.recordStart(*choice->worker, wanted.progress->tasks[index], *wanted.step);
+        plan.placements.push_back(placement(wanted, index, choice->worker->incarnation()));
     }
     wanted.tasks = std::move(left);
 }
 
-void Planner::planGang(WantedStep &wanted, Plan &plan)
+void Planner::planGang(PendingStep &wanted, Plan &plan)
 {
     if (wanted.step->prefersOneRack) {
         std::set<std::string_view> racks;
-        for (const Choice &choice : this->choices) {
-            racks.insert(choice.room->rack());
+        for (const Candidate &choice : this->candidates) {
+            racks.insert(choice.worker->rack());
         }
         for (const std::string_view rack : racks) {
             if (this->placeGang(wanted, rack, plan)) {
@@ -276,25 +277,25 @@
     this->placeGang(wanted, "", plan);
 }
 
-bool Planner::placeGang(WantedStep &wanted, std::string_view rack, Plan &plan)
+bool Planner::placeGang(PendingStep &wanted, std::string_view rack, Plan &plan)
 {
-    std::vector<Choice *> taken;
+    std::vector<Candidate *> taken;
     for (const std::uint32_t index : wanted.tasks) {
-        Choice *choice = this->bestChoice(wanted, index, rack);
+        Candidate *choice = this->bestCandidate(wanted, index, rack);
         if (choice == nullptr) {
             break;
         }
-        this->take(*choice, wanted, 1);
+        this->reserve(*choice, wanted, 1);
         taken.push_back(choice);
     }
     if (taken.size() < wanted.tasks.size()) {
-        for (Choice *choice : taken) {
-            this->take(*choice, wanted, -1);
+        for (Candidate *choice : taken) {
+            this->reserve(*choice, wanted, -1);
         }
         return false;
     }
     for (std::size_t number = 0; number < taken.size(); ++number) {
-        plan.placements.push_back(placement(wanted, wanted.tasks[number], taken[number]->room->life()));
+        plan.placements.push_back(placement(wanted, wanted.tasks[number], taken[number]->worker->incarnation()));
     }
     wanted.tasks.clear();
     return true;
--- a/paddlepier/planning/planner_benchmark.cpp
+++ b/paddlepier/planning/planner_benchmark.cpp
@@ -30,7 +30,7 @@
     benchmark::DoNotOptimize(cell.plan());
     std::size_t placements = 0;
     for (auto _ : state) {
-        Planner planner(cell.state, cell.views, cell.tracks, cell.setbacks, cell.advice, cell.usualRatios);
+        Planner planner(cell.state, cell.views, cell.tracks, cell.taskBackoff, cell.advice, cell.typicalRatios);
         placements += planner.plan(cell.now, cell.wallMillis).placements.size();
     }
     state.counters["placements"] = benchmark::Counter(static_cast<double>(placements), benchmark::Counter::kAvgIterations);
@@ -46,12 +46,12 @@
     cell.addWaitingSteps(steps);
     for (int round = 0; round < 3; ++round) {
         const Plan plan = cell.plan();
-        cell.carryOut({plan.placements, {}, plan.preempted});
+        cell.execute({plan.placements, {}, plan.preemptions});
     }
     std::size_t decisions = 0;
     for (auto _ : state) {
         const Plan plan = cell.plan();
-        decisions += plan.placements.size() + plan.questions.size();
+        decisions += plan.placements.size() + plan.adviceRequests.size();
     }
     state.counters["decisions"] = benchmark::Counter(static_cast<double>(decisions), benchmark::Counter::kAvgIterations);
 }
@@ -71,15 +71,15 @@
             cell.apply(std::move(command));
         }
     }
-    cell.pass(absl::Seconds(2));
+    cell.advance(absl::Seconds(2));
     std::size_t questions = 0;
     for (int round = 0; round < 3; ++round) {
-        questions += cell.plan().questions.size();
+        questions += cell.plan().adviceRequests.size();
     }
     std::size_t decisions = 0;
     for (auto _ : state) {
         const Plan plan = cell.plan();
-        decisions += plan.placements.size() + plan.questions.size();
+        decisions += plan.placements.size() + plan.adviceRequests.size();
     }
     state.counters["asked"] = static_cast<double>(questions);
     state.counters["waiting"] = static_cast<double>(cell.state.waitingJobs().size());
@@ -105,9 +105,9 @@
     }
     const auto planOnce = [&] { return cell.planner.plan(cell.now, cell.wallMillis, budget); };
     for (int round = 0; round < 20; ++round) {
-        cell.carryOut(planOnce());
+        cell.execute(planOnce());
         cell.answerAll();
-        cell.pass(absl::Milliseconds(20));
+        cell.advance(absl::Milliseconds(20));
     }
     std::size_t placements = 0;
     for (auto _ : state) {
@@ -116,12 +116,12 @@
         const workload::TaskKey key = run->first;
         const execution::RunTrack track = run->second;
         cell.endRun(key, track, work::RunEndKind::Done);
-        cell.pass(absl::Milliseconds(6));
+        cell.advance(absl::Milliseconds(6));
         state.ResumeTiming();
         const Plan plan = planOnce();
         state.PauseTiming();
         placements += plan.placements.size();
-        cell.carryOut(plan);
+        cell.execute(plan);
         cell.answerAll();
         state.ResumeTiming();
     }
@@ -129,9 +129,9 @@
     state.counters["placements"] = average(static_cast<double>(placements));
     state.counters["waiting"] = static_cast<double>(waiting);
     state.counters["steps"] = average(static_cast<double>(cell.planner.work().stepsPlanned));
-    state.counters["open"] = average(static_cast<double>(cell.planner.work().stepsLookedAt));
-    state.counters["rooms"] = average(static_cast<double>(cell.planner.work().roomsRead));
-    state.counters["jobs"] = average(static_cast<double>(cell.planner.work().jobsPlacedInOrder));
+    state.counters["open"] = average(static_cast<double>(cell.planner.work().stepsExamined));
+    state.counters["rooms"] = average(static_cast<double>(cell.planner.work().workersRead));
+    state.counters["jobs"] = average(static_cast<double>(cell.planner.work().jobsReordered));
 }
 BENCHMARK(BM_PlanAfterOneChange)
     ->Args({350, 100})
@@ -157,8 +157,8 @@
     for (auto _ : state) {
         LoadReplay replay(++replays, wideTasksPattern(static_cast<double>(state.range(0)) / 100));
         replay.run(absl::Minutes(1));
-        wide += replay.inTime("wide");
-        small += replay.inTime("small");
+        wide += replay.inTimeShare("wide");
+        small += replay.inTimeShare("small");
         inUse += replay.acceleratorsInUse();
         median += replay.wait("wide", 0.5);
         tail += replay.wait("wide", 0.95);
@@ -209,7 +209,7 @@
         const std::set<std::string> jobs = this->state.activeJobs();
         for (int round = 0; round < rounds; ++round) {
             this->endRuns(1.0);
-            this->carryOut(this->plan());
+            this->execute(this->plan());
         }
         for (const std::string &id : jobs) {
             work::CancelJobT command;
--- a/paddlepier/planning/planner_outcome_test.cpp
+++ b/paddlepier/planning/planner_outcome_test.cpp
@@ -37,8 +37,8 @@
         for (int round = 0; round < rounds; ++round) {
             const Plan plan = cell.plan();
             take(cell, plan);
-            cell.carryOut(plan);
-            cell.pass(absl::Milliseconds(30));
+            cell.execute(plan);
+            cell.advance(absl::Milliseconds(30));
             cell.endRuns(0.05);
         }
     }
@@ -49,13 +49,13 @@
         for (const work::PlacementT &placement : plan.placements) {
             absl::StrAppend(&text, "p", workload::TaskKey(*placement.task).text(), " ", placement.run, " ", placement.worker, "\n");
         }
-        for (const execution::AdviceQuestion &question : plan.questions) {
+        for (const execution::AdviceRequest &question : plan.adviceRequests) {
             absl::StrAppend(&text, "q", question.step.text(), "\n");
-            for (const workload::Life &worker : question.workers) {
+            for (const workload::Incarnation &worker : question.workers) {
                 absl::StrAppend(&text, worker.id);
             }
         }
-        for (const auto &[key, servedStep] : plan.preempted) {
+        for (const auto &[key, servedStep] : plan.preemptions) {
             absl::StrAppend(&text, "x", key.text(), "\n");
         }
         return text;
@@ -75,14 +75,14 @@
     {
         const workload::TaskKey key(*placement.task);
         const workload::Job &job = *cell.state.findJob(key.job);
-        const workload::Worker &worker = *cell.state.findWorker(workload::lifeOf(placement));
+        const workload::Worker &worker = *cell.state.findWorker(workload::incarnationOf(placement));
         const work::StepSpecT &step = job.stepSpec(key.step);
         CHECK(job.mayPlace(key, placement.run));
         CHECK_FALSE(worker.registration.isDraining);
         CHECK_FALSE(worker.superseded.contains(key));
         CHECK(worker.registration.service == job.queue().service);
         CHECK((step.requiredLabel.empty() || worker.hasLabel(step.requiredLabel)));
-        CHECK((!job.queue().advice || cell.advice.validTicket(cell.now, key.stepKey(), workload::lifeOf(placement)) != nullptr));
+        CHECK((!job.queue().advice || cell.advice.validTicket(cell.now, key.stepKey(), workload::incarnationOf(placement)) != nullptr));
     }
 
     /** Runs of a step on a worker, those that were superseded too. */
@@ -190,10 +190,10 @@
         INFO("seed " << seed);
         play(seed, [&](const FakeCell &cell, const Plan &plan) {
             std::for_each(plan.placements.begin(), plan.placements.end(), [&cell](const work::PlacementT &placement) { checkPlacement(cell, placement); });
-            std::for_each(plan.preempted.begin(), plan.preempted.end(), [&cell](const Preemption &entry) { checkPreempted(cell, entry); });
+            std::for_each(plan.preemptions.begin(), plan.preemptions.end(), [&cell](const Preemption &entry) { checkPreempted(cell, entry); });
             checkBounds(cell, plan);
             placed += plan.placements.size();
-            preempted += plan.preempted.size();
+            preempted += plan.preemptions.size();
         });
     }
     // The cells are such that there is something to judge.
--- a/paddlepier/planning/planner_test.cpp
+++ b/paddlepier/planning/planner_test.cpp
@@ -58,7 +58,7 @@
         registration.labels = {"a", rack};
         registration.capacity = std::make_unique<work::Demand>(processors, 10'000, 0);
         this->apply(std::move(registration));
-        this->views.try_emplace({id}, this->now, absl::Seconds(10)).first->second.noteAnswer(this->now, 1000);
+        this->views.try_emplace({id}, this->now, absl::Seconds(10)).first->second.recordAnswer(this->now, 1000);
     }
 
     work::StepSpecT &addJob(const std::string &id, const std::string &queue, std::uint32_t tasks)
@@ -90,7 +90,7 @@
         work::PlaceRunsT command;
         for (work::PlacementT &placement : plan.placements) {
             execution::RunTrack track;
-            track.worker = workload::lifeOf(placement);
+            track.worker = workload::incarnationOf(placement);
             track.run = placement.run;
             track.phase = execution::RunPhase::Running;
             this->tracks[workload::TaskKey(*placement.task)] = track;
@@ -114,8 +114,8 @@
     workload::Workload state;
     execution::WorkerViews views;
     execution::RunTracks tracks;
-    execution::Setbacks setbacks;
-    AdviceBook advice;
+    execution::TaskBackoff setbacks;
+    AdviceCache advice;
     std::map<std::string, double> usualRatios;
     Planner planner;
     work::SubmitJobT pending;
@@ -148,13 +148,13 @@
         this->submit();
     }
     const Plan first = this->planner.plan(this->now, this->wallMillis, {{2}});
-    REQUIRE(first.questions.size() == 2);
-    CHECK(first.questions[0].step.job == "a");
-    CHECK(first.questions[1].step.job == "b");
-    CHECK(this->planner.plan(this->now, this->wallMillis, {{0}}).questions.empty());
+    REQUIRE(first.adviceRequests.size() == 2);
+    CHECK(first.adviceRequests[0].step.job == "a");
+    CHECK(first.adviceRequests[1].step.job == "b");
+    CHECK(this->planner.plan(this->now, this->wallMillis, {{0}}).adviceRequests.empty());
     const Plan next = this->planner.plan(this->now, this->wallMillis, {{1}});
-    REQUIRE(next.questions.size() == 1);
-    CHECK(next.questions[0].step.job == "c");
+    REQUIRE(next.adviceRequests.size() == 1);
+    CHECK(next.adviceRequests[0].step.job == "c");
 }
 
 TEST_CASE_METHOD(PlannerFixture, "roomOfAStepThatCantBeAskedAbout_isLeftToOneWithATicket")
@@ -168,11 +168,11 @@
     this->addJob("second", "advised", 1);
     this->submit();
     const workload::StepKey second{"second", 0, 0};
-    const execution::AdviceQuestion question = this->advice.ask(this->now, second, "advised", {{"w1"}}, *this->state.findJob("second")->queue().advice);
+    const execution::AdviceRequest question = this->advice.request(this->now, second, "advised", {{"w1"}}, *this->state.findJob("second")->queue().advice);
     execution::AdviceAnswer answer;
     answer.isAnswered = true;
-    answer.good.emplace_back().worker = "w1";
-    this->advice.answer(this->now, question.id, answer);
+    answer.tickets.emplace_back().worker = "w1";
+    this->advice.recordAnswer(this->now, question.id, answer);
     const Plan plan = this->planner.plan(this->now, this->wallMillis, {{0}});
     REQUIRE(plan.placements.size() == 1);
     CHECK(plan.placements[0].task->job == "second");
@@ -221,19 +221,19 @@
     this->submit();
     const Plan plan = this->plan();
     CHECK(plan.placements.empty());
-    REQUIRE(plan.questions.size() == 1);
+    REQUIRE(plan.adviceRequests.size() == 1);
     // Naming a worker costs a twentieth of the question: several are named at once.
-    CHECK(plan.questions[0].workers.size() >= 7);
-    CHECK(this->plan().questions.empty());
+    CHECK(plan.adviceRequests[0].workers.size() >= 7);
+    CHECK(this->plan().adviceRequests.empty());
     execution::AdviceAnswer answer;
     answer.isAnswered = true;
-    answer.good.emplace_back();
-    answer.good.back().worker = plan.questions[0].workers[0].id;
-    answer.good.back().ticket = "t";
-    this->advice.answer(this->now, plan.questions[0].id, answer);
+    answer.tickets.emplace_back();
+    answer.tickets.back().worker = plan.adviceRequests[0].workers[0].id;
+    answer.tickets.back().ticket = "t";
+    this->advice.recordAnswer(this->now, plan.adviceRequests[0].id, answer);
     const Plan next = this->plan();
     REQUIRE(next.placements.size() == 2);
-    CHECK(next.placements[0].worker == plan.questions[0].workers[0].id);
+    CHECK(next.placements[0].worker == plan.adviceRequests[0].workers[0].id);
     this->now += absl::Seconds(3);
     CHECK(this->plan().placements.empty());
 }
@@ -245,7 +245,7 @@
     this->submit();
     const Plan plan = this->plan();
     CHECK(plan.placements.empty());
-    CHECK(plan.preempted.size() == 2);
+    CHECK(plan.preemptions.size() == 2);
 }
 
 TEST_CASE_METHOD(PlannerFixture, "urgentWork_thatIsLateAlready_makesNothingGiveWay")
@@ -255,10 +255,10 @@
     this->submit();
     // Its objective is two seconds, of which one is work.
     this->wallMillis += 1500;
-    CHECK(this->plan().preempted.empty());
+    CHECK(this->plan().preemptions.empty());
     this->addJob("next", "urgent", 1);
     this->submit();
-    CHECK(this->plan().preempted.size() == 1);
+    CHECK(this->plan().preemptions.size() == 1);
 }
 
 TEST_CASE_METHOD(PlannerFixture, "urgentWork_shortlyAfterAPreemption_makesMoreGiveWayAfterAPause")
@@ -267,16 +267,16 @@
     this->addJob("quick", "urgent", 1);
     this->submit();
     const Plan first = this->plan();
-    REQUIRE(first.preempted.size() == 1);
-    this->tracks.at(first.preempted[0].run).phase = execution::RunPhase::Stopping;
+    REQUIRE(first.preemptions.size() == 1);
+    this->tracks.at(first.preemptions[0].run).phase = execution::RunPhase::Stopping;
     this->addJob("quicker", "urgent", 1);
     this->submit();
     this->now += absl::Milliseconds(10);
-    CHECK(this->plan().preempted.empty());
+    CHECK(this->plan().preemptions.empty());
     this->now += absl::Milliseconds(10);
     const Plan next = this->plan();
-    REQUIRE(next.preempted.size() == 1);
-    CHECK_FALSE(next.preempted[0].run == first.preempted[0].run);
+    REQUIRE(next.preemptions.size() == 1);
+    CHECK_FALSE(next.preemptions[0].run == first.preemptions[0].run);
 }
 
 TEST_CASE_METHOD(PlannerFixture, "urgentWork_withoutRoom_leavesLastingAndUnsavedWorkAlone")
@@ -290,7 +290,7 @@
     this->place(this->plan());
     this->addJob("quick", "urgent", 2);
     this->submit();
-    CHECK(this->plan().preempted.empty());
+    CHECK(this->plan().preemptions.empty());
 }
 
 TEST_CASE_METHOD(PlannerFixture, "hopelessJob_beforeAFreshOne_isServedAfterIt")
@@ -313,8 +313,8 @@
     this->addWorker("w1");
     this->addWorker("w2");
     this->addWorker("w3");
-    this->views.at({"w1"}).noteFailedRun(this->now);
-    this->views.at({"w1"}).noteFailedRun(this->now);
+    this->views.at({"w1"}).recordFailedRun(this->now);
+    this->views.at({"w1"}).recordFailedRun(this->now);
     work::RegisterWorkerT draining = this->state.findWorker({"w2"})->registration;
     draining.isDraining = true;
     this->apply(std::move(draining));
@@ -343,8 +343,8 @@
     end->kind = work::RunEndKind::Failed;
     this->apply(std::move(failed));
     this->tracks.clear();
-    this->views.at({"w1"}).noteFailedRun(this->now);
-    this->planner.noteView({"w1"});
+    this->views.at({"w1"}).recordFailedRun(this->now);
+    this->planner.markViewChanged({"w1"});
     CHECK(this->plan().placements.empty());
     // Nothing else runs there that could show the worker to be sound.
     this->now += absl::Seconds(30);
@@ -437,9 +437,9 @@
     this->addJob("000000000000000d", "urgent", 2);
     this->submit();
     const Plan plan = this->plan();
-    REQUIRE(plan.preempted.size() == 2);
-    CHECK(plan.preempted[0].run.job == "000000000000000b");
-    CHECK(plan.preempted[1].run.job == "000000000000000b");
+    REQUIRE(plan.preemptions.size() == 2);
+    CHECK(plan.preemptions[0].run.job == "000000000000000b");
+    CHECK(plan.preemptions[1].run.job == "000000000000000b");
 }
 
 TEST_CASE_METHOD(PlannerFixture, "wideStepOfManyTasks_inAFullCell_judgesEachWorkerOnceAndTheChosenAgain")
@@ -455,9 +455,9 @@
     this->place(this->plan());
     this->addJob("wide", "urgent", tasks).demand = std::make_unique<work::Demand>(4000, 100, 0);
     this->submit();
-    const std::uint64_t before = this->planner.work().comingRooms;
+    const std::uint64_t before = this->planner.work().capacityForecasts;
     CHECK(this->plan().placements.empty());
-    const std::uint64_t judged = this->planner.work().comingRooms - before;
+    const std::uint64_t judged = this->planner.work().capacityForecasts - before;
     CHECK(judged >= workers);
     CHECK(judged <= workers + tasks);
 }
--- a/paddlepier/planning/makingway.h
+++ b/paddlepier/planning/preemption.h
@@ -3,7 +3,7 @@
 // Urgent work (priority 0) may take the place of any run that saves its progress: those near the step's other tasks go first,
 // then what can't be served in time any more, and then the youngest; where room is short some jobs end in time instead of
 // all ending late. Urgent work that is late already stops nothing. Work of other queues makes less urgent runs give way only
-// for wide tasks, which would find no room otherwise, and only where room is chosen and kept for them (roomkeeping.h).
+// for wide tasks, which would find no room otherwise, and only where room is chosen and kept for them (capacityreserver.h).
 //
 // Example:
 //     way.begin(now, wallMillis);
@@ -12,13 +12,13 @@
 //
 // Thread safety: none; owned by the planner. Cost: O(tasks of jobs that may make way), once a plan.
 
-#ifndef PADDLEPIER_PLANNING_MAKINGWAY_H
-#define PADDLEPIER_PLANNING_MAKINGWAY_H
+#ifndef PADDLEPIER_PLANNING_PREEMPTION_H
+#define PADDLEPIER_PLANNING_PREEMPTION_H
 
 #include "paddlepier/execution/runtrack.h"
-#include "paddlepier/planning/outlook.h"
-#include "paddlepier/planning/roomkeeping.h"
-#include "paddlepier/planning/rooms.h"
+#include "paddlepier/planning/capacityindex.h"
+#include "paddlepier/planning/capacityreserver.h"
+#include "paddlepier/planning/objectiveforecast.h"
 #include "paddlepier/workload/workload.h"
 
 #include <algorithm>
@@ -29,36 +29,37 @@
 namespace paddlepier::planning
 {
 
-struct YieldingRun {
+struct PreemptionCandidate {
     workload::TaskKey key;
-    Room *room = nullptr;
+    WorkerCapacity *worker = nullptr;
     std::uint32_t priority = 0;
     std::uint32_t milliProcessors = 0;
-    Outlook outlook = Outlook::InTime;
+    ObjectiveStatus objectiveStatus = ObjectiveStatus::InTime;
     std::int64_t submittedAtMillis = 0;
     bool isChosen = false;
 };
 
-class YieldingRuns
+class PreemptionCandidates
 {
 public:
     /** @param outlookOfOccurrence  gives the outlook of an occurrence of a job */
     template<typename OutlookOf>
-    void collect(const workload::Workload &state, const execution::RunTracks &tracks, Rooms &rooms, OutlookOf outlookOfOccurrence)
+    void collect(const workload::Workload &state, const execution::RunTracks &tracks, CapacityIndex &rooms, OutlookOf outlookOfOccurrence)
     {
         this->runs.clear();
         for (const std::string &id : state.activeJobs()) {
             const workload::Job &job = *state.findJob(id);
-            if (job.queue().priority == 0 || job.runsUnderWay() == 0) {
+            if (job.queue().priority == 0 || job.activeRunCount() == 0) {
                 continue;
             }
             for (std::uint32_t occurrence = 0; occurrence < job.occurrences().size(); ++occurrence) {
                 const std::size_t before = this->runs.size();
                 this->addOccurrence(job, occurrence, tracks, rooms);
                 if (this->runs.size() > before) {
-                    const Outlook outlook = outlookOfOccurrence(job, occurrence);
-                    std::for_each(
-                        this->runs.begin() + static_cast<std::ptrdiff_t>(before), this->runs.end(), [outlook](YieldingRun &run) { run.outlook = outlook; });
+                    const ObjectiveStatus outlook = outlookOfOccurrence(job, occurrence);
+                    std::for_each(this->runs.begin() + static_cast<std::ptrdiff_t>(before), this->runs.end(), [outlook](PreemptionCandidate &run) {
+                        run.objectiveStatus = outlook;
+                    });
                 }
             }
         }
@@ -70,8 +71,8 @@
     void visitInOrder(std::uint32_t home, Visit visit)
     {
         for (const bool atHome : {true, false}) {
-            for (YieldingRun &run : this->runs) {
-                const bool isAtHome = home == noHome || run.room->dataCentre == home;
+            for (PreemptionCandidate &run : this->runs) {
+                const bool isAtHome = home == noDataCentre || run.worker->dataCentre == home;
                 if (!run.isChosen && isAtHome == atHome && !visit(run)) {
                     return;
                 }
@@ -80,10 +81,10 @@
     }
 
 private:
-    void addOccurrence(const workload::Job &job, std::uint32_t occurrence, const execution::RunTracks &tracks, Rooms &rooms);
+    void addOccurrence(const workload::Job &job, std::uint32_t occurrence, const execution::RunTracks &tracks, CapacityIndex &rooms);
     void sort();
 
-    std::vector<YieldingRun> runs;
+    std::vector<PreemptionCandidate> runs;
 };
 
 /** A run that is to stop, and the waiting step that its room is for. */
@@ -93,49 +94,49 @@
 };
 
 /** Decides which runs stop, once for each plan. */
-class MakingWay
+class Preemptor
 {
 public:
-    MakingWay(const workload::Workload &workloadState,
+    Preemptor(const workload::Workload &workloadState,
               const execution::RunTracks &runTracks,
-              const Prospects &jobProspects,
-              Rooms &planRooms,
-              const AdviceBook &book);
+              const ObjectiveForecaster &jobProspects,
+              CapacityIndex &planRooms,
+              const AdviceCache &book);
 
     /** Begins a plan. */
     void begin(Timestamp at, std::int64_t wall);
     /** This plan may make runs give way anywhere for a step of that priority and prospect. */
-    bool mayServe(std::uint32_t priority, const Prospect &prospect) const;
+    bool mayPreemptAnywhereFor(std::uint32_t priority, const ObjectiveForecast &prospect) const;
     /** Stops runs for the waiting tasks of @p wanted: those that @p coming names, or for urgent work any. */
-    void makeRoom(const WantedStep &wanted, const std::vector<ComingRoom> &coming);
+    void preemptFor(const PendingStep &wanted, const std::vector<FutureCapacity> &coming);
     /** Runs that make way by this plan. */
-    std::vector<Preemption> takePreempted();
+    std::vector<Preemption> drainPreemptions();
 
 private:
     /** Stops runs where room for a wide step is then there while its tickets are good. */
-    void makeComing(const WantedStep &wanted, const std::vector<ComingRoom> &coming);
-    bool mayStopFor(const WantedStep &wanted, const ComingRoom &coming) const;
-    void makeAnywhere(const WantedStep &wanted);
-    void stopRuns(const WantedStep &wanted, std::size_t missing);
-    static bool mayMakeRoom(const Room &room, const WantedStep &wanted, std::uint32_t service);
+    void preemptOnReserved(const PendingStep &wanted, const std::vector<FutureCapacity> &coming);
+    bool mayStopFor(const PendingStep &wanted, const FutureCapacity &coming) const;
+    void preemptAnywhere(const PendingStep &wanted);
+    void stopRuns(const PendingStep &wanted, std::size_t missing);
+    static bool isSuitable(const WorkerCapacity &room, const PendingStep &wanted, std::uint32_t service);
     /** Takes room that is free or on its way for up to @p missing tasks; @return for how many there is some */
-    std::size_t claimComingRoom(Room &room, const WantedStep &wanted, std::size_t missing);
+    std::size_t claimCapacity(WorkerCapacity &room, const PendingStep &wanted, std::size_t missing);
 
     const workload::Workload &state;
     const execution::RunTracks &tracks;
-    const Prospects &prospects;
-    Rooms &rooms;
-    const AdviceBook &advice;
+    const ObjectiveForecaster &forecaster;
+    CapacityIndex &capacityIndex;
+    const AdviceCache &adviceCache;
     Timestamp now;
     std::int64_t wallMillis = 0;
-    YieldingRuns yielding;
-    bool isYieldingCollected = false;
+    PreemptionCandidates candidates;
+    bool areCandidatesCollected = false;
     /** This plan may make runs give way. */
-    bool isOpen = true;
+    bool mayPreempt = true;
     /** Steps of this plan for which no run to stop was found. */
-    std::size_t fruitlessSteps = 0;
+    std::size_t unsuccessfulSteps = 0;
     Timestamp nextPreemption = absl::InfinitePast();
-    std::vector<Preemption> preempted;
+    std::vector<Preemption> preemptions;
 };
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/quotaleft.h
+++ b/paddlepier/planning/quotatracker.h
@@ -10,8 +10,8 @@
 //
 // Thread safety: none; owned by the planner. Cost: O(log teams) each.
 
-#ifndef PADDLEPIER_PLANNING_QUOTALEFT_H
-#define PADDLEPIER_PLANNING_QUOTALEFT_H
+#ifndef PADDLEPIER_PLANNING_QUOTATRACKER_H
+#define PADDLEPIER_PLANNING_QUOTATRACKER_H
 
 #include "paddlepier/planning/suitability.h"
 #include "paddlepier/workload/workload.h"
@@ -25,27 +25,27 @@
 {
 
 /** How many of the step's waiting tasks @p room has room for; of a gang all or none. */
-std::size_t tasksWithin(const workload::QuotaRoom &room, const WantedStep &wanted);
+std::size_t tasksWithin(const workload::QuotaHeadroom &room, const PendingStep &wanted);
 
-class QuotaLeft
+class QuotaTracker
 {
 public:
-    explicit QuotaLeft(const workload::Workload &workloadState);
+    explicit QuotaTracker(const workload::Workload &workloadState);
 
     /** Begins a plan. */
     void begin();
     /** Leaves the first of the tasks, as many as are within the team's quota. */
-    void limit(WantedStep &wanted);
+    void limit(PendingStep &wanted);
     /** So many tasks of the step are placed by this plan. */
-    void take(const WantedStep &wanted, std::size_t tasks);
+    void reserve(const PendingStep &wanted, std::size_t tasks);
     /** Teams whose quota has kept tasks waiting since the last call. */
-    std::set<std::string> takeTeamsAtQuota();
+    std::set<std::string> drainTeamsAtQuota();
 
 private:
-    workload::QuotaRoom &roomOf(const std::string &team);
+    workload::QuotaHeadroom &headroomOf(const std::string &team);
 
     const workload::Workload &state;
-    std::map<std::string, workload::QuotaRoom> rooms;
+    std::map<std::string, workload::QuotaHeadroom> headrooms;
     std::set<std::string> teamsAtQuota;
 };
 
--- a/paddlepier/planning/steporder.cpp
+++ b/paddlepier/planning/steporder.cpp
@@ -32,27 +32,28 @@
     return step.runningTasks > 0 || step.doneTasks > 0 || step.tasks.front().lastRun > 0;
 }
 
-double slackBeyondBeginning(const Prospect &prospect)
+double slackBeyondBeginning(const ObjectiveForecast &prospect)
 {
     return prospect.slackMillis - leastSlackToBegin * prospect.remainingMillis;
 }
 
-bool isTooLateToBegin(const Prospect &prospect)
+bool isTooLateToBegin(const ObjectiveForecast &prospect)
 {
-    return prospect.outlook == Outlook::InTime && slackBeyondBeginning(prospect) < 0;
+    return prospect.status == ObjectiveStatus::InTime && slackBeyondBeginning(prospect) < 0;
 }
 
-std::uint32_t rankOf(const workload::Job &job, const Prospect &prospect)
+std::uint32_t rankOf(const workload::Job &job, const ObjectiveForecast &prospect)
 {
     const std::uint32_t priority = job.queue().priority;
-    return priority > 1 && prospect.isPressed() ? priority - 1 : priority;
+    return priority > 1 && prospect.hasLowSlack() ? priority - 1 : priority;
 }
 
 /** After how long a judgement by @p prospect is another one, if nothing but the time changes. */
-std::int64_t millisUntilChange(const Prospect &prospect)
+std::int64_t millisUntilChange(const ObjectiveForecast &prospect)
 {
     double least = std::numeric_limits<double>::infinity();
-    for (const double slack : {prospect.slackMillis, prospect.slackMillis - prospect.remainingMillis, slackBeyondBeginning(prospect), prospect.usefulMillis}) {
+    for (const double slack :
+         {prospect.slackMillis, prospect.slackMillis - prospect.remainingMillis, slackBeyondBeginning(prospect), prospect.lateSlackMillis}) {
         least = slack >= 0 ? std::min(least, slack) : least;
     }
     return std::isinf(least) ? never : static_cast<std::int64_t>(least) + 1;
@@ -60,7 +61,7 @@
 
 bool isWaiting(const workload::Step &progress, const work::StepSpecT &step)
 {
-    return progress.waitingTasks > 0 && progress.openBefore == 0 && !(step.isGang && progress.runningTasks > 0);
+    return progress.waitingTasks > 0 && progress.openPredecessors == 0 && !(step.isGang && progress.runningTasks > 0);
 }
 
 } // namespace
@@ -72,16 +73,18 @@
 
 bool WaitingStep::operator<(const WaitingStep &other) const
 {
-    const auto place = [](const WaitingStep &entry) { return std::tuple(entry.rank, entry.prospect.outlook, !entry.hasBegun, entry.job->submittedAtMillis()); };
+    const auto place = [](const WaitingStep &entry) {
+        return std::tuple(entry.rank, entry.forecast.status, !entry.hasStarted, entry.job->submittedAtMillis());
+    };
     if (place(*this) != place(other)) {
         return place(*this) < place(other);
     }
     return this->key < other.key;
 }
 
-StepOrder::StepOrder(const workload::Workload &workloadState, const Prospects &jobProspects)
+StepOrder::StepOrder(const workload::Workload &workloadState, const ObjectiveForecaster &jobProspects)
     : state(workloadState)
-    , prospects(jobProspects)
+    , forecaster(jobProspects)
 {
 }
 
@@ -90,21 +93,21 @@
     return this->order;
 }
 
-std::uint64_t StepOrder::placedJobs() const
+std::uint64_t StepOrder::reorderedJobs() const
 {
-    return this->placeCount;
+    return this->reorderCount;
 }
 
 void StepOrder::update(std::int64_t wallMillis)
 {
-    std::set<std::string> jobs = this->takeChangedJobs(wallMillis);
-    this->addRejudgedQueues(jobs);
+    std::set<std::string> jobs = this->drainChangedJobs(wallMillis);
+    this->addJobsWithChangedRatio(jobs);
     for (const std::string &id : jobs) {
-        this->placeJob(id, wallMillis);
+        this->reorderJob(id, wallMillis);
     }
 }
 
-std::set<std::string> StepOrder::takeChangedJobs(std::int64_t wallMillis)
+std::set<std::string> StepOrder::drainChangedJobs(std::int64_t wallMillis)
 {
     std::set<std::string> jobs;
     const bool reachesBack = this->state.jobChanges().visitSince(this->readUntil, [&jobs](const std::string &id) { jobs.insert(id); });
@@ -115,17 +118,17 @@
         jobs = this->state.waitingJobs();
     }
     this->readUntil = this->state.jobChanges().end();
-    while (std::optional<std::string> id = this->dueJobs.take(absl::FromUnixMillis(wallMillis))) {
+    while (std::optional<std::string> id = this->reorderTimers.popExpired(absl::FromUnixMillis(wallMillis))) {
         jobs.insert(std::move(*id));
     }
     return jobs;
 }
 
-void StepOrder::addRejudgedQueues(std::set<std::string> &jobs)
+void StepOrder::addJobsWithChangedRatio(std::set<std::string> &jobs)
 {
     std::set<std::string> queues;
     for (auto &[queue, ratio] : this->assumedRatios) {
-        const double usual = this->prospects.usualRatio(queue);
+        const double usual = this->forecaster.typicalRatio(queue);
         if (std::abs(usual - ratio) > ratioTolerance * ratio) {
             ratio = usual;
             queues.insert(queue);
@@ -141,9 +144,9 @@
     }
 }
 
-void StepOrder::placeJob(const std::string &id, std::int64_t wallMillis)
+void StepOrder::reorderJob(const std::string &id, std::int64_t wallMillis)
 {
-    ++this->placeCount;
+    ++this->reorderCount;
     const auto known = this->byJob.find(id);
     if (known != this->byJob.end()) {
         for (const auto &entry : known->second) {
@@ -161,18 +164,18 @@
             next = std::min(next, job.dueMillis(occurrence));
             break;
         }
-        next = std::min(next, this->placeOccurrence(job, occurrence, wallMillis));
+        next = std::min(next, this->reorderOccurrence(job, occurrence, wallMillis));
     }
     if (next < never) {
-        this->dueJobs.set(id, absl::FromUnixMillis(next));
+        this->reorderTimers.schedule(id, absl::FromUnixMillis(next));
     }
 }
 
-std::int64_t StepOrder::placeOccurrence(const workload::Job &job, std::uint32_t occurrence, std::int64_t wallMillis)
+std::int64_t StepOrder::reorderOccurrence(const workload::Job &job, std::uint32_t occurrence, std::int64_t wallMillis)
 {
     const std::vector<workload::Step> &steps = job.occurrences()[occurrence].steps;
     const bool hasBegun = std::any_of(steps.begin(), steps.end(), wasPlaced);
-    std::optional<Prospect> prospect;
+    std::optional<ObjectiveForecast> prospect;
     for (std::uint32_t number = 0; number < steps.size(); ++number) {
         const work::StepSpecT &step = job.stepSpec(number);
         if (!isWaiting(steps[number], step)) {
@@ -181,38 +184,38 @@
         WaitingStep entry;
         entry.job = &job;
         entry.key = {job.id(), occurrence, number};
-        entry.hasBegun = hasBegun;
-        entry.judgedAtMillis = wallMillis;
+        entry.hasStarted = hasBegun;
+        entry.evaluatedAtMillis = wallMillis;
         if (!step.isLasting) {
             // What is to last has no end to meet.
-            prospect = prospect ? prospect : this->prospects.of(job, occurrence, wallMillis);
-            entry.prospect = *prospect;
+            prospect = prospect ? prospect : this->forecaster.forecast(job, occurrence, wallMillis);
+            entry.forecast = *prospect;
             const std::string &queue = job.queue().name;
-            this->assumedRatios.try_emplace(queue, this->prospects.usualRatio(queue));
+            this->assumedRatios.try_emplace(queue, this->forecaster.typicalRatio(queue));
         }
-        if (!hasBegun && isTooLateToBegin(entry.prospect)) {
-            entry.prospect.outlook = Outlook::Late;
+        if (!hasBegun && isTooLateToBegin(entry.forecast)) {
+            entry.forecast.status = ObjectiveStatus::Late;
         }
-        entry.rank = rankOf(job, entry.prospect);
+        entry.rank = rankOf(job, entry.forecast);
         this->byJob[job.id()].push_back(this->order.insert(entry).first);
     }
     const std::int64_t change = prospect ? millisUntilChange(*prospect) : never;
     return change == never ? never : wallMillis + change;
 }
 
-WantedStep StepOrder::wantedStep(const WaitingStep &waiting, std::int64_t wallMillis)
+PendingStep StepOrder::pendingStep(const WaitingStep &waiting, std::int64_t wallMillis)
 {
-    WantedStep wanted;
+    PendingStep wanted;
     wanted.job = waiting.job;
     wanted.key = waiting.key;
     wanted.step = &waiting.step();
     wanted.progress = &waiting.job->occurrences()[waiting.key.occurrence].steps[waiting.key.step];
-    wanted.hasBegun = waiting.hasBegun;
-    wanted.prospect = waiting.prospect;
+    wanted.hasStarted = waiting.hasStarted;
+    wanted.forecast = waiting.forecast;
     if (!wanted.step->isLasting) {
-        const auto passed = static_cast<double>(wallMillis - waiting.judgedAtMillis);
-        wanted.prospect.slackMillis -= passed;
-        wanted.prospect.usefulMillis -= passed;
+        const auto passed = static_cast<double>(wallMillis - waiting.evaluatedAtMillis);
+        wanted.forecast.slackMillis -= passed;
+        wanted.forecast.lateSlackMillis -= passed;
     }
     wanted.tasks.reserve(wanted.progress->waitingTasks);
     for (std::uint32_t index = 0; index < wanted.progress->tasks.size(); ++index) {
@@ -223,13 +226,13 @@
     return wanted;
 }
 
-std::vector<WantedStep> StepOrder::collect(std::int64_t wallMillis)
+std::vector<PendingStep> StepOrder::collect(std::int64_t wallMillis)
 {
     this->update(wallMillis);
-    std::vector<WantedStep> wanted;
+    std::vector<PendingStep> wanted;
     wanted.reserve(this->order.size());
     for (const WaitingStep &waiting : this->order) {
-        wanted.push_back(wantedStep(waiting, wallMillis));
+        wanted.push_back(pendingStep(waiting, wallMillis));
     }
     return wanted;
 }
--- a/paddlepier/planning/steporder.h
+++ b/paddlepier/planning/steporder.h
@@ -20,8 +20,8 @@
 #ifndef PADDLEPIER_PLANNING_STEPORDER_H
 #define PADDLEPIER_PLANNING_STEPORDER_H
 
-#include "paddlepier/execution/duequeue.h"
-#include "paddlepier/planning/outlook.h"
+#include "paddlepier/execution/timerqueue.h"
+#include "paddlepier/planning/objectiveforecast.h"
 #include "paddlepier/planning/suitability.h"
 #include "paddlepier/workload/workload.h"
 
@@ -40,14 +40,14 @@
 struct WaitingStep {
     /** Priority of its queue, or one higher. */
     std::uint32_t rank = 0;
-    bool hasBegun = false;
+    bool hasStarted = false;
     const workload::Job *job = nullptr;
     workload::StepKey key;
     /** As it stood at judgedAtMillis. */
-    Prospect prospect;
-    std::int64_t judgedAtMillis = 0;
+    ObjectiveForecast forecast;
+    std::int64_t evaluatedAtMillis = 0;
     /** No part of its place: its data centre has been chosen since the job last changed. */
-    mutable bool isHomeChosen = false;
+    mutable bool isDataCentreChosen = false;
 
     const work::StepSpecT &step() const;
     bool operator<(const WaitingStep &other) const;
@@ -56,40 +56,40 @@
 class StepOrder
 {
 public:
-    StepOrder(const workload::Workload &workloadState, const Prospects &jobProspects);
+    StepOrder(const workload::Workload &workloadState, const ObjectiveForecaster &jobProspects);
 
     /** Takes in what has changed since the last call. @param wallMillis  milliseconds since 1970 */
     void update(std::int64_t wallMillis);
     /** How often a job was placed in the order. */
-    std::uint64_t placedJobs() const;
+    std::uint64_t reorderedJobs() const;
     /** In order; valid until the next update. */
     const std::set<WaitingStep> &steps() const;
     /** The step with its waiting tasks. */
-    static WantedStep wantedStep(const WaitingStep &waiting, std::int64_t wallMillis);
+    static PendingStep pendingStep(const WaitingStep &waiting, std::int64_t wallMillis);
 
     /** update(), and all steps with their tasks. */
-    std::vector<WantedStep> collect(std::int64_t wallMillis);
+    std::vector<PendingStep> collect(std::int64_t wallMillis);
 
 private:
     /** Jobs whose place may be another one now. */
-    std::set<std::string> takeChangedJobs(std::int64_t wallMillis);
+    std::set<std::string> drainChangedJobs(std::int64_t wallMillis);
     /** Adds the jobs of queues that take another time than was assumed. */
-    void addRejudgedQueues(std::set<std::string> &jobs);
-    void placeJob(const std::string &id, std::int64_t wallMillis);
+    void addJobsWithChangedRatio(std::set<std::string> &jobs);
+    void reorderJob(const std::string &id, std::int64_t wallMillis);
     /** @return when the place of one of its steps changes next with the time alone */
-    std::int64_t placeOccurrence(const workload::Job &job, std::uint32_t occurrence, std::int64_t wallMillis);
+    std::int64_t reorderOccurrence(const workload::Job &job, std::uint32_t occurrence, std::int64_t wallMillis);
 
     const workload::Workload &state;
-    const Prospects &prospects;
+    const ObjectiveForecaster &forecaster;
     std::set<WaitingStep> order;
     // Invariant: names each entry of `order` once, by its job.
     absl::flat_hash_map<std::string, std::vector<std::set<WaitingStep>::const_iterator>> byJob;
     /** Jobs by the time at which they have to be placed anew. */
-    execution::DueQueue<std::string> dueJobs;
+    execution::TimerQueue<std::string> reorderTimers;
     workload::ChangeLog<std::string>::Position readUntil = 0;
     /** By queue: what its runs usually take, as the order assumes. */
     std::map<std::string, double> assumedRatios;
-    std::uint64_t placeCount = 0;
+    std::uint64_t reorderCount = 0;
 };
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/steporder_test.cpp
+++ b/paddlepier/planning/steporder_test.cpp
@@ -82,7 +82,7 @@
     std::vector<std::string> order(std::int64_t atMillis)
     {
         std::vector<std::string> jobs;
-        for (const WantedStep &wanted : this->stepOrder.collect(atMillis)) {
+        for (const PendingStep &wanted : this->stepOrder.collect(atMillis)) {
             jobs.push_back(wanted.key.job);
         }
         return jobs;
@@ -91,7 +91,7 @@
     std::int64_t wallMillis = 0;
     workload::Workload state;
     const std::map<std::string, double> usualRatios;
-    const Prospects prospects{this->usualRatios};
+    const ObjectiveForecaster prospects{this->usualRatios};
     StepOrder stepOrder{this->state, this->prospects};
 };
 
@@ -132,7 +132,7 @@
     const auto orderMadeAnew = [this](std::int64_t atMillis) {
         StepOrder anew(this->state, this->prospects);
         std::vector<std::string> jobs;
-        for (const WantedStep &wanted : anew.collect(atMillis)) {
+        for (const PendingStep &wanted : anew.collect(atMillis)) {
             jobs.push_back(wanted.key.job);
         }
         return jobs;
@@ -162,12 +162,12 @@
         this->submit("job-" + std::to_string(number), 1000);
     }
     this->order(1000);
-    const std::uint64_t before = this->stepOrder.placedJobs();
+    const std::uint64_t before = this->stepOrder.reorderedJobs();
     this->begin("job-77");
     this->order(1010);
-    CHECK(this->stepOrder.placedJobs() - before == 1);
+    CHECK(this->stepOrder.reorderedJobs() - before == 1);
     this->order(1020);
-    CHECK(this->stepOrder.placedJobs() - before == 1);
+    CHECK(this->stepOrder.reorderedJobs() - before == 1);
 }
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/suitability.cpp
+++ b/paddlepier/planning/suitability.cpp
@@ -30,14 +30,14 @@
 
 } // namespace
 
-const workload::Life &Room::life() const
+const workload::Incarnation &WorkerCapacity::incarnation() const
 {
-    return *this->lifeOfWorker;
+    return *this->incarnationKey;
 }
 
-std::string_view Room::rack() const
+std::string_view WorkerCapacity::rack() const
 {
-    const std::vector<std::string> &labels = this->worker->registration.labels;
+    const std::vector<std::string> &labels = this->record->registration.labels;
     return labels.size() < 2 ? std::string_view() : std::string_view(labels.back());
 }
 
@@ -51,43 +51,45 @@
     return static_cast<std::size_t>(std::max<std::int64_t>(0, std::min({byProcessors, byMemory, byAccelerators})));
 }
 
-std::size_t Room::tasksThatFit(const work::StepSpecT &step) const
+std::size_t WorkerCapacity::tasksThatFit(const work::StepSpecT &step) const
 {
-    return tasksThatFitInto(this->processors, this->memory, this->accelerators, step);
+    return tasksThatFitInto(this->freeProcessors, this->freeMemory, this->freeAccelerators, step);
 }
 
-void Room::take(const work::StepSpecT &step, std::int64_t tasks)
+void WorkerCapacity::reserve(const work::StepSpecT &step, std::int64_t tasks)
 {
-    this->processors -= step.isFilling ? 0 : tasks * static_cast<std::int64_t>(step.demand->milliProcessors());
-    this->memory -= tasks * static_cast<std::int64_t>(step.demand->memoryMegabytes());
-    this->accelerators -= tasks * static_cast<std::int64_t>(step.demand->accelerators());
+    this->freeProcessors -= step.isFilling ? 0 : tasks * static_cast<std::int64_t>(step.demand->milliProcessors());
+    this->freeMemory -= tasks * static_cast<std::int64_t>(step.demand->memoryMegabytes());
+    this->freeAccelerators -= tasks * static_cast<std::int64_t>(step.demand->accelerators());
 }
 
-bool WantedStep::isServedAsAWhole() const
+bool PendingStep::prefersOneDataCentre() const
 {
     return !this->step->isLasting && !this->step->isFilling;
 }
 
-double penaltyOf(const Room &room, const WantedStep &wanted)
+double penaltyOf(const WorkerCapacity &room, const PendingStep &wanted)
 {
     const work::StepSpecT &step = *wanted.step;
-    const auto capacity = static_cast<double>(room.worker->registration.capacity->milliProcessors());
-    const double left = (static_cast<double>(room.processors) - step.demand->milliProcessors()) / std::max(1.0, capacity);
+    const auto capacity = static_cast<double>(room.record->registration.capacity->milliProcessors());
+    const double left = (static_cast<double>(room.freeProcessors) - step.demand->milliProcessors()) / std::max(1.0, capacity);
     double penalty = step.isFilling ? -left : left;
-    if (wanted.isServedAsAWhole() && !wanted.tasks.empty()) {
+    if (wanted.prefersOneDataCentre() && !wanted.tasks.empty()) {
         const auto waiting = static_cast<double>(wanted.tasks.size());
         const double taken = std::min(1.0, static_cast<double>(room.tasksThatFit(step)) / waiting);
         penalty += splitPenalty * (1.0 - taken);
-        penalty += room.isOfStep ? 0.0 : otherWorkerPenalty;
-        penalty += wanted.home == noHome || wanted.home == room.dataCentre ? 0.0 : wanted.reserve == room.dataCentre ? reservePenalty : awayPenalty;
+        penalty += room.isCountedForStep ? 0.0 : otherWorkerPenalty;
+        penalty += wanted.preferredDataCentre == noDataCentre || wanted.preferredDataCentre == room.dataCentre ? 0.0
+                   : wanted.fallbackDataCentre == room.dataCentre                                              ? reservePenalty
+                                                                                                               : awayPenalty;
     }
     if (!step.dataRack.empty() && step.dataRack != room.rack()) {
         penalty += farDataPenalty;
     }
     // What fills disturbs what serves.
-    penalty += contentionPenalty * (step.isFilling ? room.worker->servingRuns : step.targetLatencyMillis > 0 ? room.worker->fillingRuns : 0);
+    penalty += contentionPenalty * (step.isFilling ? room.record->servingRuns : step.targetLatencyMillis > 0 ? room.record->fillingRuns : 0);
     penalty += slownessPenalty * std::max(0.0, room.view->slowness - usualSlowness);
-    penalty += suspicionPenalty * room.view->failedInRow;
+    penalty += suspicionPenalty * room.view->consecutiveFailures;
     return penalty;
 }
 
--- a/paddlepier/planning/suitability.h
+++ b/paddlepier/planning/suitability.h
@@ -13,8 +13,8 @@
 #define PADDLEPIER_PLANNING_SUITABILITY_H
 
 #include "paddlepier/execution/workerview.h"
-#include "paddlepier/planning/advicebook.h"
-#include "paddlepier/planning/outlook.h"
+#include "paddlepier/planning/advicecache.h"
+#include "paddlepier/planning/objectiveforecast.h"
 #include "paddlepier/workload/workload.h"
 
 #include <cstdint>
@@ -27,16 +27,16 @@
 {
 
 /** No data centre is better than another. */
-constexpr std::uint32_t noHome = std::numeric_limits<std::uint32_t>::max();
+constexpr std::uint32_t noDataCentre = std::numeric_limits<std::uint32_t>::max();
 
 /** Tasks of @p step that fit into so much room. */
 std::size_t tasksThatFitInto(std::int64_t processors, std::int64_t memory, std::int64_t accelerators, const work::StepSpecT &step);
 
 /** One worker as a plan sees it: what is left of it after the placements decided so far. */
-struct Room {
+struct WorkerCapacity {
     /** Key of `worker` in the ledger; both are null while the room is empty. */
-    const workload::Life *lifeOfWorker = nullptr;
-    const workload::Worker *worker = nullptr;
+    const workload::Incarnation *incarnationKey = nullptr;
+    const workload::Worker *record = nullptr;
     const execution::WorkerView *view = nullptr;
     /** Numbers of the rooms' data centres and services, and of the worker in the advice book. */
     std::uint32_t dataCentre = 0;
@@ -47,63 +47,63 @@
     /** An answer of its worker is late. */
     bool isOverdue = false;
     /** A plan has changed it. */
-    bool isTouched = false;
+    bool isModified = false;
     /** Its machine is off. */
     bool isSpare = false;
     /** Its last runs failed, but its time out is over. */
     bool isOnProbation = false;
     /** Runs there that haven't worked for long yet, of tasks under which workers were lost. */
-    std::uint32_t suspects = 0;
+    std::uint32_t suspectRuns = 0;
     /** One of them is to show whether its task is the cause: nothing else goes there meanwhile. */
-    bool isKeptApart = false;
-    std::int64_t processors = 0;
-    std::int64_t memory = 0;
-    std::int64_t accelerators = 0;
+    bool isIsolated = false;
+    std::int64_t freeProcessors = 0;
+    std::int64_t freeMemory = 0;
+    std::int64_t freeAccelerators = 0;
     /** Processors that stopping runs are about to give back. */
-    std::int64_t comingProcessors = 0;
+    std::int64_t releasingProcessors = 0;
     /** Of the step that is being planned: tasks there, whether it was ever counted there, and what the policy service says. */
     std::uint32_t stepTasks = 0;
-    bool isOfStep = false;
-    Standing standing = Standing::Unasked;
+    bool isCountedForStep = false;
+    AdviceStatus adviceStatus = AdviceStatus::NotRequested;
 
-    const workload::Life &life() const;
+    const workload::Incarnation &incarnation() const;
     std::string_view rack() const;
 
     /** Asked for each worker and step of a plan, so that it is best inlined. */
     bool fits(const work::StepSpecT &step) const
     {
         const work::Demand &demand = *step.demand;
-        const bool hasProcessors = step.isFilling || this->processors >= demand.milliProcessors();
-        return hasProcessors && this->memory >= demand.memoryMegabytes() && this->accelerators >= demand.accelerators();
+        const bool hasProcessors = step.isFilling || this->freeProcessors >= demand.milliProcessors();
+        return hasProcessors && this->freeMemory >= demand.memoryMegabytes() && this->freeAccelerators >= demand.accelerators();
     }
 
     std::size_t tasksThatFit(const work::StepSpecT &step) const;
     /** Takes @p tasks of @p step into account; a negative number takes them back. */
-    void take(const work::StepSpecT &step, std::int64_t tasks = 1);
+    void reserve(const work::StepSpecT &step, std::int64_t tasks = 1);
 };
 
 /** One step with tasks to place. */
-struct WantedStep {
+struct PendingStep {
     const workload::Job *job = nullptr;
     workload::StepKey key;
     const work::StepSpecT *step = nullptr;
     const workload::Step *progress = nullptr;
     /** In time, with nothing left to do, for what is to last: it has no end to meet. */
-    Prospect prospect;
+    ObjectiveForecast forecast;
     std::vector<std::uint32_t> tasks;
     /** A task of its occurrence has been placed before. */
-    bool hasBegun = false;
+    bool hasStarted = false;
     /** Data centre that its tasks had best go to. */
-    std::uint32_t home = noHome;
+    std::uint32_t preferredDataCentre = noDataCentre;
     /** Data centre for those that don't fit there. */
-    std::uint32_t reserve = noHome;
+    std::uint32_t fallbackDataCentre = noDataCentre;
 
     /** Its tasks are best kept together. */
-    bool isServedAsAWhole() const;
+    bool prefersOneDataCentre() const;
 };
 
 /** How badly the worker suits the step; the unit is a wholly free worker. */
-double penaltyOf(const Room &room, const WantedStep &wanted);
+double penaltyOf(const WorkerCapacity &room, const PendingStep &wanted);
 
 } // namespace paddlepier::planning
 
--- a/paddlepier/planning/probation.cpp
+++ b/paddlepier/planning/suspectisolation.cpp
@@ -1,6 +1,6 @@
 // Where tasks may be started under which workers were lost.
 
-#include "paddlepier/planning/probation.h"
+#include "paddlepier/planning/suspectisolation.h"
 
 #include <algorithm>
 
@@ -27,50 +27,53 @@
 
 } // namespace
 
-Probation::Probation(const workload::Workload &workloadState, const execution::RunTracks &runTracks, const execution::Setbacks &taskSetbacks, Rooms &planRooms)
+SuspectIsolation::SuspectIsolation(const workload::Workload &workloadState,
+                                   const execution::RunTracks &runTracks,
+                                   const execution::TaskBackoff &taskSetbacks,
+                                   CapacityIndex &planRooms)
     : state(workloadState)
     , tracks(runTracks)
-    , setbacks(taskSetbacks)
-    , rooms(planRooms)
+    , taskBackoff(taskSetbacks)
+    , capacityIndex(planRooms)
 {
 }
 
-void Probation::begin(Timestamp now)
+void SuspectIsolation::begin(Timestamp now)
 {
-    this->roomsApart = 0;
-    this->mostRoomsApart = std::max(leastRoomsApart, this->rooms.usableCount() / workersPerRoomApart);
+    this->isolatedWorkers = 0;
+    this->maxIsolatedWorkers = std::max(leastRoomsApart, this->capacityIndex.usableCount() / workersPerRoomApart);
     for (const workload::TaskKey &key : this->state.suspects()) {
         const workload::Job &job = *this->state.findJob(key.job);
         const workload::Task &task = job.task(key);
         const auto track = this->tracks.find(key);
-        Room *room = task.hasRun() ? this->rooms.find(task.worker) : nullptr;
+        WorkerCapacity *room = task.hasRun() ? this->capacityIndex.find(task.worker) : nullptr;
         if (room == nullptr || track == this->tracks.end() || track->second.isSettledAt(now)) {
             continue;
         }
-        this->rooms.touch(*room);
-        ++room->suspects;
+        this->capacityIndex.markModified(*room);
+        ++room->suspectRuns;
         if (now - track->second.placedAt < apartFor) {
-            this->keepApart(*room, task, job.stepSpec(key.step));
+            this->isolate(*room, task, job.stepSpec(key.step));
         }
     }
 }
 
-void Probation::keepApart(Room &room, const workload::Task &task, const work::StepSpecT &step)
+void SuspectIsolation::isolate(WorkerCapacity &room, const workload::Task &task, const work::StepSpecT &step)
 {
     // A gang needs many workers at once, most of which its other members share with it.
-    if (step.isGang || task.possibleLosses() < lossesForProof || this->roomsApart >= this->mostRoomsApart) {
+    if (step.isGang || task.possibleLosses() < lossesForProof || this->isolatedWorkers >= this->maxIsolatedWorkers) {
         return;
     }
-    this->roomsApart += room.isKeptApart ? 0 : 1;
-    room.isKeptApart = true;
+    this->isolatedWorkers += room.isIsolated ? 0 : 1;
+    room.isIsolated = true;
 }
 
-void Probation::holdBack(Timestamp now, WantedStep &wanted) const
+void SuspectIsolation::holdBack(Timestamp now, PendingStep &wanted) const
 {
-    const bool hasPauses = this->setbacks.hasPauses(now);
+    const bool hasPauses = this->taskBackoff.hasBackoffs(now);
     const auto isHeld = [this, now, hasPauses, &wanted](std::uint32_t index) {
-        const bool mayCostNoMore = wanted.progress->tasks[index].possibleLosses() >= workload::mostLosses;
-        return mayCostNoMore || (hasPauses && this->setbacks.isPaused(now, {wanted.key.job, wanted.key.occurrence, wanted.key.step, index}));
+        const bool mayCostNoMore = wanted.progress->tasks[index].possibleLosses() >= workload::maxLosses;
+        return mayCostNoMore || (hasPauses && this->taskBackoff.isBackingOff(now, {wanted.key.job, wanted.key.occurrence, wanted.key.step, index}));
     };
     const bool holdsSome = std::any_of(wanted.tasks.begin(), wanted.tasks.end(), isHeld);
     if (holdsSome && wanted.step->isGang) {
@@ -80,22 +83,22 @@
     }
 }
 
-double Probation::penalty(const Room &room, const workload::Task &task)
+double SuspectIsolation::penalty(const WorkerCapacity &room, const workload::Task &task)
 {
     if (!task.isSuspect()) {
         return 0;
     }
-    const auto capacity = static_cast<double>(room.worker->registration.capacity->milliProcessors());
-    const double used = 1.0 - static_cast<double>(room.processors) / std::max(1.0, capacity);
-    return crowdPenalty * used + costlyPenalty * std::min(1U, room.worker->costlyRuns) + otherSuspectPenalty * room.suspects;
+    const auto capacity = static_cast<double>(room.record->registration.capacity->milliProcessors());
+    const double used = 1.0 - static_cast<double>(room.freeProcessors) / std::max(1.0, capacity);
+    return crowdPenalty * used + costlyPenalty * std::min(1U, room.record->costlyRuns) + otherSuspectPenalty * room.suspectRuns;
 }
 
-void Probation::noteStart(Room &room, const workload::Task &task, const work::StepSpecT &step)
+void SuspectIsolation::recordStart(WorkerCapacity &room, const workload::Task &task, const work::StepSpecT &step)
 {
     if (task.isSuspect()) {
-        this->rooms.touch(room);
-        ++room.suspects;
-        this->keepApart(room, task, step);
+        this->capacityIndex.markModified(room);
+        ++room.suspectRuns;
+        this->isolate(room, task, step);
     }
 }
 
--- a/paddlepier/planning/probation.h
+++ b/paddlepier/planning/suspectisolation.h
@@ -15,13 +15,13 @@
 //
 // Thread safety: none; owned by the planner. Cost: begin() is O(suspects log runs), the rest O(1).
 
-#ifndef PADDLEPIER_PLANNING_PROBATION_H
-#define PADDLEPIER_PLANNING_PROBATION_H
+#ifndef PADDLEPIER_PLANNING_SUSPECTISOLATION_H
+#define PADDLEPIER_PLANNING_SUSPECTISOLATION_H
 
 #include "paddlepier/base/clock.h"
 #include "paddlepier/execution/runtrack.h"
-#include "paddlepier/execution/setbacks.h"
-#include "paddlepier/planning/rooms.h"
+#include "paddlepier/execution/taskbackoff.h"
+#include "paddlepier/planning/capacityindex.h"
 #include "paddlepier/workload/workload.h"
 
 #include <cstddef>
@@ -29,10 +29,13 @@
 namespace paddlepier::planning
 {
 
-class Probation
+class SuspectIsolation
 {
 public:
-    Probation(const workload::Workload &workloadState, const execution::RunTracks &runTracks, const execution::Setbacks &taskSetbacks, Rooms &planRooms);
+    SuspectIsolation(const workload::Workload &workloadState,
+                     const execution::RunTracks &runTracks,
+                     const execution::TaskBackoff &taskSetbacks,
+                     CapacityIndex &planRooms);
 
     /** Begins a plan: marks the rooms in which suspects are proving themselves. */
     void begin(Timestamp now);
@@ -40,22 +43,22 @@
      * Takes tasks out that pause, and those that may have cost as many workers as one task may: what became of some of these isn't
      * known yet. A gang is taken out as a whole.
      */
-    void holdBack(Timestamp now, WantedStep &wanted) const;
+    void holdBack(Timestamp now, PendingStep &wanted) const;
     /** What a loss of the worker would cost besides; 0 for a task that is no suspect. */
-    static double penalty(const Room &room, const workload::Task &task);
+    static double penalty(const WorkerCapacity &room, const workload::Task &task);
     /** The task is placed there by this plan. */
-    void noteStart(Room &room, const workload::Task &task, const work::StepSpecT &step);
+    void recordStart(WorkerCapacity &room, const workload::Task &task, const work::StepSpecT &step);
 
 private:
     /** Keeps other work off the room, if the task is to prove itself and few enough rooms are kept so. */
-    void keepApart(Room &room, const workload::Task &task, const work::StepSpecT &step);
+    void isolate(WorkerCapacity &room, const workload::Task &task, const work::StepSpecT &step);
 
     const workload::Workload &state;
     const execution::RunTracks &tracks;
-    const execution::Setbacks &setbacks;
-    Rooms &rooms;
-    std::size_t roomsApart = 0;
-    std::size_t mostRoomsApart = 0;
+    const execution::TaskBackoff &taskBackoff;
+    CapacityIndex &capacityIndex;
+    std::size_t isolatedWorkers = 0;
+    std::size_t maxIsolatedWorkers = 0;
 };
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/waiting.cpp
+++ b/paddlepier/planning/waitmonitor.cpp
@@ -1,9 +1,9 @@
 // Why tasks wait.
 
-#include "paddlepier/planning/waiting.h"
+#include "paddlepier/planning/waitmonitor.h"
 
 #include "paddlepier/planning/eligibility.h"
-#include "paddlepier/planning/quotaleft.h"
+#include "paddlepier/planning/quotatracker.h"
 
 #include <algorithm>
 #include <array>
@@ -22,9 +22,9 @@
 constexpr std::size_t mostTold = 10;
 
 /** The task fits into the worker while nothing else is there. */
-bool isLargeEnough(const Room &room, const work::StepSpecT &step)
+bool isLargeEnough(const WorkerCapacity &room, const work::StepSpecT &step)
 {
-    const work::Demand &capacity = *room.worker->registration.capacity;
+    const work::Demand &capacity = *room.record->registration.capacity;
     const work::Demand &demand = *step.demand;
     return (step.isFilling || demand.milliProcessors() <= capacity.milliProcessors()) && demand.memoryMegabytes() <= capacity.memoryMegabytes()
            && demand.accelerators() <= capacity.accelerators();
@@ -34,9 +34,9 @@
 class Remaining
 {
 public:
-    explicit Remaining(std::vector<Room> &all)
+    explicit Remaining(std::vector<WorkerCapacity> &all)
     {
-        for (Room &room : all) {
+        for (WorkerCapacity &room : all) {
             this->rooms.push_back(&room);
         }
     }
@@ -45,21 +45,21 @@
     template<typename Predicate>
     bool isEmptyAfter(Predicate isKept)
     {
-        std::erase_if(this->rooms, [&isKept](const Room *room) { return !isKept(*room); });
+        std::erase_if(this->rooms, [&isKept](const WorkerCapacity *room) { return !isKept(*room); });
         return this->rooms.empty();
     }
 
     std::size_t tasksThatFit(const work::StepSpecT &step) const
     {
         std::size_t tasks = 0;
-        for (const Room *room : this->rooms) {
+        for (const WorkerCapacity *room : this->rooms) {
             tasks += room->tasksThatFit(step);
         }
         return tasks;
     }
 
 private:
-    std::vector<const Room *> rooms;
+    std::vector<const WorkerCapacity *> rooms;
 };
 
 } // namespace
@@ -84,34 +84,37 @@
     return names.at(static_cast<std::size_t>(reason));
 }
 
-WaitWatch::WaitWatch(
-    const workload::Workload &workloadState, const execution::Setbacks &taskSetbacks, StepOrder &stepOrder, Rooms &planRooms, Probation &suspectProbation)
+WaitMonitor::WaitMonitor(const workload::Workload &workloadState,
+                         const execution::TaskBackoff &taskSetbacks,
+                         StepOrder &stepOrder,
+                         CapacityIndex &planRooms,
+                         SuspectIsolation &suspectProbation)
     : state(workloadState)
-    , setbacks(taskSetbacks)
+    , taskBackoff(taskSetbacks)
     , order(stepOrder)
-    , rooms(planRooms)
-    , probation(suspectProbation)
+    , capacityIndex(planRooms)
+    , isolation(suspectProbation)
 {
 }
 
-std::vector<LongWait> WaitWatch::look(Timestamp now, std::int64_t wallMillis)
+std::vector<LongWait> WaitMonitor::scan(Timestamp now, std::int64_t wallMillis)
 {
     this->order.update(wallMillis);
-    this->note(now);
+    this->updateSteps(now);
     std::vector<LongWait> waits;
     for (const WaitingStep &waiting : this->order.steps()) {
-        Seen &entry = this->seen.at(waiting.key);
-        if (now - entry.since < longWait || now - entry.toldAt < tellingPause) {
+        StepWait &entry = this->stepWaits.at(waiting.key);
+        if (now - entry.since < longWaitThreshold || now - entry.reportedAt < tellingPause) {
             continue;
         }
         if (waits.empty()) {
-            this->rooms.collect(now);
-            this->probation.begin(now);
+            this->capacityIndex.refresh(now);
+            this->isolation.begin(now);
         }
-        entry.toldAt = now;
-        const WantedStep wanted = StepOrder::wantedStep(waiting, wallMillis);
+        entry.reportedAt = now;
+        const PendingStep wanted = StepOrder::pendingStep(waiting, wallMillis);
         waits.push_back({wanted.key, wanted.tasks.size(), now - entry.since, this->reasonFor(now, wanted)});
-        this->told[wanted.key] = waits.back();
+        this->reported[wanted.key] = waits.back();
         if (waits.size() >= mostTold) {
             break;
         }
@@ -119,32 +122,32 @@
     return waits;
 }
 
-void WaitWatch::note(Timestamp now)
+void WaitMonitor::updateSteps(Timestamp now)
 {
-    std::map<workload::StepKey, Seen> current;
+    std::map<workload::StepKey, StepWait> current;
     for (const WaitingStep &waiting : this->order.steps()) {
         const std::size_t tasks = waiting.job->occurrences()[waiting.key.occurrence].steps[waiting.key.step].waitingTasks;
-        const auto known = this->seen.find(waiting.key);
-        const bool goesOn = known != this->seen.end() && tasks >= known->second.tasks;
-        Seen entry = goesOn ? known->second : Seen{now};
+        const auto known = this->stepWaits.find(waiting.key);
+        const bool goesOn = known != this->stepWaits.end() && tasks >= known->second.tasks;
+        StepWait entry = goesOn ? known->second : StepWait{now};
         entry.tasks = tasks;
         current.emplace(waiting.key, entry);
     }
-    this->seen = std::move(current);
-    std::erase_if(this->told, [this, now](const auto &entry) {
-        const auto known = this->seen.find(entry.first);
-        return known == this->seen.end() || now - known->second.since < longWait;
+    this->stepWaits = std::move(current);
+    std::erase_if(this->reported, [this, now](const auto &entry) {
+        const auto known = this->stepWaits.find(entry.first);
+        return known == this->stepWaits.end() || now - known->second.since < longWaitThreshold;
     });
 }
 
-const LongWait *WaitWatch::find(const std::string &job) const
+const LongWait *WaitMonitor::find(const std::string &job) const
 {
-    const auto found = this->told.lower_bound({job, 0, 0});
-    return found == this->told.end() || found->first.job != job ? nullptr : &found->second;
+    const auto found = this->reported.lower_bound({job, 0, 0});
+    return found == this->reported.end() || found->first.job != job ? nullptr : &found->second;
 }
 
 template<typename Predicate>
-bool WaitWatch::hasWorkerFor(const WantedStep &wanted, Predicate isCounted) const
+bool WaitMonitor::hasWorkerFor(const PendingStep &wanted, Predicate isCounted) const
 {
     const auto &workers = this->state.workers();
     return std::any_of(workers.begin(), workers.end(), [&wanted, &isCounted](const auto &entry) {
@@ -154,54 +157,54 @@
     });
 }
 
-WaitReason WaitWatch::reasonFor(Timestamp now, const WantedStep &wanted)
+WaitReason WaitMonitor::reasonFor(Timestamp now, const PendingStep &wanted)
 {
     const std::uint32_t index = wanted.tasks.front();
     const workload::TaskKey key(wanted.key.job, wanted.key.occurrence, wanted.key.step, index);
     const workload::Task &task = wanted.progress->tasks[index];
-    if (task.possibleLosses() >= workload::mostLosses) {
+    if (task.possibleLosses() >= workload::maxLosses) {
         return WaitReason::LossesInDoubt;
     }
-    if (this->setbacks.isPaused(now, key)) {
+    if (this->taskBackoff.isBackingOff(now, key)) {
         return WaitReason::Paused;
     }
-    if (tasksWithin(this->state.teams().roomOf(wanted.job->team()), wanted) == 0) {
+    if (tasksWithin(this->state.teams().headroomOf(wanted.job->team()), wanted) == 0) {
         return WaitReason::TeamAtQuota;
     }
-    this->rooms.beginStep(now, wanted);
+    this->capacityIndex.beginStep(now, wanted);
     const bool needsAdvice = wanted.job->queue().advice != nullptr;
-    const std::uint32_t service = this->rooms.serviceNumber(wanted.job->queue().service);
-    Remaining remaining(this->rooms.all());
-    if (remaining.isEmptyAfter([&](const Room &room) { return mayRun(room, wanted, service); })) {
+    const std::uint32_t service = this->capacityIndex.serviceNumber(wanted.job->queue().service);
+    Remaining remaining(this->capacityIndex.all());
+    if (remaining.isEmptyAfter([&](const WorkerCapacity &room) { return mayRun(room, wanted, service); })) {
         if (!this->hasWorkerFor(wanted, [](const workload::Worker &) { return true; })) {
             return WaitReason::NoWorker;
         }
         const bool isElsewhere = this->hasWorkerFor(wanted, [this](const workload::Worker &worker) { return !this->state.isEvacuated(worker); });
         return isElsewhere ? WaitReason::WorkersUnusable : WaitReason::Evacuated;
     }
-    if (remaining.isEmptyAfter([&](const Room &room) { return !needsAdvice || room.standing != Standing::Forbidden; })) {
+    if (remaining.isEmptyAfter([&](const WorkerCapacity &room) { return !needsAdvice || room.adviceStatus != AdviceStatus::Forbidden; })) {
         return WaitReason::NotPermitted;
     }
-    if (remaining.isEmptyAfter([&](const Room &room) { return isBelowBound(room, wanted); })) {
+    if (remaining.isEmptyAfter([&](const WorkerCapacity &room) { return isBelowPerWorkerLimit(room, wanted); })) {
         return WaitReason::PerWorkerBound;
     }
-    if (remaining.isEmptyAfter([](const Room &room) { return !room.isKeptApart; })) {
+    if (remaining.isEmptyAfter([](const WorkerCapacity &room) { return !room.isIsolated; })) {
         return WaitReason::KeptApart;
     }
-    if (remaining.isEmptyAfter([&task](const Room &room) { return isTrusted(room, task); })) {
+    if (remaining.isEmptyAfter([&task](const WorkerCapacity &room) { return isTrustedFor(room, task); })) {
         return WaitReason::WorkersBarred;
     }
-    if (remaining.isEmptyAfter([&key](const Room &room) { return !room.worker->superseded.contains(key); })) {
+    if (remaining.isEmptyAfter([&key](const WorkerCapacity &room) { return !room.record->superseded.contains(key); })) {
         return WaitReason::CopyUnsettled;
     }
-    if (remaining.isEmptyAfter([&wanted](const Room &room) { return isLargeEnough(room, *wanted.step); })) {
+    if (remaining.isEmptyAfter([&wanted](const WorkerCapacity &room) { return isLargeEnough(room, *wanted.step); })) {
         return WaitReason::TooLarge;
     }
-    const bool hasNone = remaining.isEmptyAfter([&wanted](const Room &room) { return room.fits(*wanted.step); });
+    const bool hasNone = remaining.isEmptyAfter([&wanted](const WorkerCapacity &room) { return room.fits(*wanted.step); });
     if (hasNone || (wanted.step->isGang && remaining.tasksThatFit(*wanted.step) < wanted.tasks.size())) {
         return WaitReason::NoRoom;
     }
-    const bool hasNoTicket = remaining.isEmptyAfter([&](const Room &room) { return !needsAdvice || room.standing == Standing::Permitted; });
+    const bool hasNoTicket = remaining.isEmptyAfter([&](const WorkerCapacity &room) { return !needsAdvice || room.adviceStatus == AdviceStatus::Permitted; });
     return hasNoTicket ? WaitReason::AdviceAwaited : WaitReason::RoomKept;
 }
 
--- a/paddlepier/planning/waiting.h
+++ b/paddlepier/planning/waitmonitor.h
@@ -9,15 +9,15 @@
 // Thread safety: none; owned by the planner. Cost: look() is O(waiting steps log of them), and O(workers) for each of the few
 // that are told.
 
-#ifndef PADDLEPIER_PLANNING_WAITING_H
-#define PADDLEPIER_PLANNING_WAITING_H
+#ifndef PADDLEPIER_PLANNING_WAITMONITOR_H
+#define PADDLEPIER_PLANNING_WAITMONITOR_H
 
 #include "paddlepier/base/clock.h"
-#include "paddlepier/execution/setbacks.h"
+#include "paddlepier/execution/taskbackoff.h"
 #include "paddlepier/execution/workerview.h"
-#include "paddlepier/planning/probation.h"
-#include "paddlepier/planning/rooms.h"
+#include "paddlepier/planning/capacityindex.h"
 #include "paddlepier/planning/steporder.h"
+#include "paddlepier/planning/suspectisolation.h"
 #include "paddlepier/workload/workload.h"
 
 #include <cstddef>
@@ -65,7 +65,7 @@
 const char *nameOf(WaitReason reason);
 
 /** Nothing of a step was placed for this long: well beyond what a full cell needs to give room to urgent work. */
-constexpr Duration longWait = absl::Seconds(10);
+constexpr Duration longWaitThreshold = absl::Seconds(10);
 
 struct LongWait {
     workload::StepKey step;
@@ -74,39 +74,42 @@
     WaitReason reason = WaitReason::NoRoom;
 };
 
-class WaitWatch
+class WaitMonitor
 {
 public:
-    WaitWatch(
-        const workload::Workload &workloadState, const execution::Setbacks &taskSetbacks, StepOrder &stepOrder, Rooms &planRooms, Probation &suspectProbation);
+    WaitMonitor(const workload::Workload &workloadState,
+                const execution::TaskBackoff &taskSetbacks,
+                StepOrder &stepOrder,
+                CapacityIndex &planRooms,
+                SuspectIsolation &suspectProbation);
 
     /** Steps that have waited for long and weren't told lately, a few at a time; to be called between two plans. */
-    std::vector<LongWait> look(Timestamp now, std::int64_t wallMillis);
+    std::vector<LongWait> scan(Timestamp now, std::int64_t wallMillis);
     /** The wait of @p job that was told last and lasts; null if there is none. */
     const LongWait *find(const std::string &job) const;
 
 private:
-    struct Seen {
+    struct StepWait {
         /** When a task of it was last placed, or it came to wait. */
         Timestamp since;
-        Timestamp toldAt = absl::InfinitePast();
+        Timestamp reportedAt = absl::InfinitePast();
         std::size_t tasks = 0;
     };
 
-    void note(Timestamp now);
-    WaitReason reasonFor(Timestamp now, const WantedStep &wanted);
+    void updateSteps(Timestamp now);
+    WaitReason reasonFor(Timestamp now, const PendingStep &wanted);
     /** Workers of the step's service with its label, of which @p isCounted holds. */
     template<typename Predicate>
-    bool hasWorkerFor(const WantedStep &wanted, Predicate isCounted) const;
+    bool hasWorkerFor(const PendingStep &wanted, Predicate isCounted) const;
 
     const workload::Workload &state;
-    const execution::Setbacks &setbacks;
+    const execution::TaskBackoff &taskBackoff;
     StepOrder &order;
-    Rooms &rooms;
-    Probation &probation;
-    std::map<workload::StepKey, Seen> seen;
+    CapacityIndex &capacityIndex;
+    SuspectIsolation &isolation;
+    std::map<workload::StepKey, StepWait> stepWaits;
     // Invariant: its keys are among those of `seen`.
-    std::map<workload::StepKey, LongWait> told;
+    std::map<workload::StepKey, LongWait> reported;
 };
 
 } // namespace paddlepier::planning
--- a/paddlepier/replication/diskwriter.cpp
+++ b/paddlepier/replication/diskwriter.cpp
@@ -40,14 +40,14 @@
         const Timestamp start = controlNow();
         write();
         this->writeTimes.record(controlNow() - start);
-        this->completions.postAlways(completed);
+        this->completions.postUnbounded(completed);
     });
 }
 
 void DiskWriter::run()
 {
     while (true) {
-        const std::vector<Mailbox::Work> batch = this->jobs.take(pollTime);
+        const std::vector<Mailbox::Work> batch = this->jobs.drain(pollTime);
         if (batch.empty() && this->stopping) {
             return;
         }
--- a/paddlepier/replication/replicanode.h
+++ b/paddlepier/replication/replicanode.h
@@ -64,14 +64,14 @@
     std::string folder;
     std::string instance;
     /** Instances that hold the first replicas; the first of them forms the group. */
-    std::vector<std::string> founders;
+    std::vector<std::string> initialInstances;
     /** False where the group is known to exist, as after the loss of a disk. */
-    bool mayForm = true;
-    /** Instances other than founders() may join. */
+    bool mayBootstrap = true;
+    /** Instances other than initialInstances() may join. */
     bool acceptsNewInstances = false;
     consensus::Admission::Limits admission;
-    Duration heartbeat;
-    Duration election;
+    Duration heartbeatInterval;
+    Duration electionTimeout;
     std::uint32_t driftPerMille = 10;
 };
 
@@ -82,12 +82,12 @@
 constexpr Duration joinInterval = absl::Milliseconds(300);
 
 /** A voter that has heard no leader for this long asks whether it still is one: twice the longest election. */
-constexpr Duration leaderSilence = absl::Seconds(2);
+constexpr Duration leaderContactTimeout = absl::Seconds(2);
 
 /** Log entries after which a snapshot is taken. */
 constexpr std::size_t entriesPerSnapshot = 8192;
 
-inline bool holdsName(const std::vector<std::string> &names, const std::string &name)
+inline bool containsName(const std::vector<std::string> &names, const std::string &name)
 {
     return std::find(names.begin(), names.end(), name) != names.end();
 }
@@ -96,8 +96,8 @@
 {
     consensus::ReplicaSettings replica;
     replica.self = identity;
-    replica.heartbeat = options.heartbeat;
-    replica.election = options.election;
+    replica.heartbeatInterval = options.heartbeatInterval;
+    replica.electionTimeout = options.electionTimeout;
     replica.driftPerMille = options.driftPerMille;
     return replica;
 }
@@ -140,7 +140,7 @@
     const consensus::Replica &replica() const;
 
     /** Gives leadership to another replica, if this one leads. */
-    void handOver(Timestamp at);
+    void transferLeadership(Timestamp at);
 
 private:
     struct Proposal {
@@ -148,21 +148,21 @@
         Completed completed;
     };
 
-    struct DurableWork {
+    struct PendingWrite {
         consensus::Effects effects;
         bool isEmpty = true;
     };
 
     void receiveJoinRequest(const std::string &fromInstance, const wire::JoinRequestT &request);
     void receiveJoinReply(const std::string &fromInstance, const wire::JoinReplyT &reply);
-    void seekMembership(Timestamp at);
-    void formIfAllAgree(Timestamp at);
-    void applyOne(const wire::LogRecordT &entry);
+    void requestMembership(Timestamp at);
+    void bootstrapIfAllAgree(Timestamp at);
+    void applyEntry(const wire::LogRecordT &entry);
     void failProposals();
-    void mergeDurable(consensus::Effects &effects);
-    void writeDurable();
-    void sendAll(std::vector<consensus::Outbound> &messages);
-    void compactIfLong();
+    void mergePendingWrite(consensus::Effects &effects);
+    void submitPendingWrite();
+    void sendAll(std::vector<consensus::OutboundMessage> &messages);
+    void compactIfNeeded();
     bool isVoter() const;
 
     const GroupOptions options;
@@ -181,14 +181,14 @@
     // Invariant: keys are indexes of this leader's own entries that are not applied yet.
     std::map<consensus::Index, Proposal> proposals;
     std::map<consensus::Index, Timestamp> proposedAt;
-    DurableWork waiting;
+    PendingWrite pendingWrite;
     bool diskBusy = false;
     Timestamp now;
 
-    Timestamp nextJoin = absl::InfinitePast();
+    Timestamp nextJoinRequestAt = absl::InfinitePast();
     Timestamp leaderSeenAt;
     std::set<std::string> peers;
-    std::map<std::string, bool> formedByInstance;
+    std::map<std::string, bool> hasGroupByInstance;
     bool wasLeader = false;
 };
 
--- a/paddlepier/replication/replicanode_detail.h
+++ b/paddlepier/replication/replicanode_detail.h
@@ -27,12 +27,12 @@
     , leaderSeenAt(startedAt)
 {
     this->core =
-        std::make_unique<consensus::Replica>(detail::replicaSettings(this->options, this->store->identity()), this->store->takeRecovered(), startedAt, seed);
+        std::make_unique<consensus::Replica>(detail::replicaSettings(this->options, this->store->identity()), this->store->releaseRecovered(), startedAt, seed);
     if (this->core->currentSnapshot()) {
         this->stateMachine.restore(wire::toString(this->core->currentSnapshot()->data));
         this->appliedIndex = this->core->currentSnapshot()->index;
     }
-    for (const std::string &founder : this->options.founders) {
+    for (const std::string &founder : this->options.initialInstances) {
         this->addPeer(founder);
     }
     log::info("ledger", "replica.opened", {{"ledger", this->options.name}, {"replica", this->store->identity()}, {"lastIndex", this->core->lastIndex()}});
@@ -87,7 +87,7 @@
 template<ReplicatedState State>
 bool ReplicaNode<State>::isVoter() const
 {
-    return detail::holdsName(this->core->membership().voters, this->store->identity());
+    return detail::containsName(this->core->membership().voters, this->store->identity());
 }
 
 template<ReplicatedState State>
@@ -95,18 +95,18 @@
 {
     // A new group accepts nothing before all its replicas vote: until then one lost instance would stop it, and one lost
     // disk could lose what it accepted. Later on it serves through repairs.
-    const bool isFormed = this->stateMachine.hasHistory() || this->core->membership().voters.size() >= this->options.founders.size();
+    const bool isFormed = this->stateMachine.hasHistory() || this->core->membership().voters.size() >= this->options.initialInstances.size();
     // Entries of earlier terms count as committed before flush() applies them: a state read in between lacks them.
     const bool hasApplied = this->appliedTerm == this->core->currentTerm();
     return isFormed && hasApplied && this->core->isCaughtUpLeader() && this->core->hasLeaderLease(at);
 }
 
 template<ReplicatedState State>
-void ReplicaNode<State>::handOver(Timestamp at)
+void ReplicaNode<State>::transferLeadership(Timestamp at)
 {
     if (this->core->isLeader()) {
         log::info("ledger", "leadership.handed-over", {{"ledger", this->options.name}});
-        this->core->handOver(at);
+        this->core->transferLeadership(at);
     }
 }
 
@@ -137,9 +137,9 @@
     if (!this->core->leader().empty()) {
         this->leaderSeenAt = at;
     }
-    const bool mayBeRemoved = this->options.acceptsNewInstances && at - this->leaderSeenAt > detail::leaderSilence;
+    const bool mayBeRemoved = this->options.acceptsNewInstances && at - this->leaderSeenAt > detail::leaderContactTimeout;
     if (!this->isVoter() || mayBeRemoved) {
-        this->seekMembership(at);
+        this->requestMembership(at);
     }
     this->admission.advance(*this->core, at);
     if (this->wasLeader != this->core->isLeader()) {
@@ -154,12 +154,12 @@
 }
 
 template<ReplicatedState State>
-void ReplicaNode<State>::seekMembership(Timestamp at)
+void ReplicaNode<State>::requestMembership(Timestamp at)
 {
-    if (at < this->nextJoin) {
+    if (at < this->nextJoinRequestAt) {
         return;
     }
-    this->nextJoin = at + detail::joinInterval;
+    this->nextJoinRequestAt = at + detail::joinInterval;
     for (const std::string &instance : this->peers) {
         wire::JoinRequestT request;
         request.instance = this->options.instance;
@@ -169,32 +169,32 @@
         frame.body.Set(std::move(request));
         this->send(instance, std::move(frame));
     }
-    this->formIfAllAgree(at);
-    this->formedByInstance.clear();
+    this->bootstrapIfAllAgree(at);
+    this->hasGroupByInstance.clear();
 }
 
 template<ReplicatedState State>
-void ReplicaNode<State>::formIfAllAgree(Timestamp at)
+void ReplicaNode<State>::bootstrapIfAllAgree(Timestamp at)
 {
     // Only the first instance of the list forms the group, and only when every other one has said that there is none.
-    const std::vector<std::string> &founders = this->options.founders;
-    if (!this->options.mayForm || founders.empty() || founders.front() != this->options.instance || this->core->isMember()) {
+    const std::vector<std::string> &founders = this->options.initialInstances;
+    if (!this->options.mayBootstrap || founders.empty() || founders.front() != this->options.instance || this->core->isMember()) {
         return;
     }
     const auto saysNo = [this](const std::string &founder) {
-        const auto answer = this->formedByInstance.find(founder);
-        return founder == this->options.instance || (answer != this->formedByInstance.end() && !answer->second);
+        const auto answer = this->hasGroupByInstance.find(founder);
+        return founder == this->options.instance || (answer != this->hasGroupByInstance.end() && !answer->second);
     };
     if (std::all_of(founders.begin(), founders.end(), saysNo)) {
         log::warning("ledger", "group.formed", {{"ledger", this->options.name}, {"replica", this->store->identity()}});
-        this->core->formGroup(at);
+        this->core->bootstrapGroup(at);
     }
 }
 
 template<ReplicatedState State>
 void ReplicaNode<State>::receiveJoinRequest(const std::string &fromInstance, const wire::JoinRequestT &request)
 {
-    const bool isExpected = this->options.acceptsNewInstances || detail::holdsName(this->options.founders, fromInstance);
+    const bool isExpected = this->options.acceptsNewInstances || detail::containsName(this->options.initialInstances, fromInstance);
     if (request.instance != fromInstance || consensus::instanceOf(request.replica) != fromInstance || !isExpected) {
         return;
     }
@@ -216,7 +216,7 @@
 template<ReplicatedState State>
 void ReplicaNode<State>::receiveJoinReply(const std::string &fromInstance, const wire::JoinReplyT &reply)
 {
-    this->formedByInstance[fromInstance] = reply.formed;
+    this->hasGroupByInstance[fromInstance] = reply.formed;
     if (this->options.acceptsNewInstances) {
         for (const std::string &member : reply.members) {
             this->addPeer(member);
@@ -253,32 +253,32 @@
 {
     this->now = at;
     this->core->replicate(at);
-    consensus::Effects effects = this->core->takeEffects();
-    this->sendAll(effects.now);
+    consensus::Effects effects = this->core->drainEffects();
+    this->sendAll(effects.immediate);
     if (effects.resetToSnapshot) {
         this->stateMachine.restore(wire::toString(effects.snapshot->data));
         this->appliedIndex = effects.snapshot->index;
         log::info("ledger", "snapshot.installed", {{"ledger", this->options.name}, {"index", this->appliedIndex}});
     }
-    this->mergeDurable(effects);
-    this->writeDurable();
+    this->mergePendingWrite(effects);
+    this->submitPendingWrite();
     for (const wire::LogRecordT &entry : effects.committed) {
-        this->applyOne(entry);
+        this->applyEntry(entry);
     }
     if (this->core->isCaughtUpLeader() && this->appliedIndex >= this->core->commitIndex()) {
         this->appliedTerm = this->core->currentTerm();
     }
-    this->compactIfLong();
+    this->compactIfNeeded();
 }
 
 template<ReplicatedState State>
-void ReplicaNode<State>::mergeDurable(consensus::Effects &effects)
+void ReplicaNode<State>::mergePendingWrite(consensus::Effects &effects)
 {
     if (!effects.isDurable() && effects.afterSync.empty()) {
         return;
     }
-    consensus::Effects &merged = this->waiting.effects;
-    this->waiting.isEmpty = false;
+    consensus::Effects &merged = this->pendingWrite.effects;
+    this->pendingWrite.isEmpty = false;
     if (effects.snapshot) {
         merged.snapshot = effects.snapshot;
         merged.entries.clear();
@@ -291,13 +291,13 @@
 }
 
 template<ReplicatedState State>
-void ReplicaNode<State>::writeDurable()
+void ReplicaNode<State>::submitPendingWrite()
 {
-    if (this->diskBusy || this->waiting.isEmpty) {
+    if (this->diskBusy || this->pendingWrite.isEmpty) {
         return;
     }
-    auto work = std::make_shared<consensus::Effects>(std::move(this->waiting.effects));
-    this->waiting = DurableWork();
+    auto work = std::make_shared<consensus::Effects>(std::move(this->pendingWrite.effects));
+    this->pendingWrite = PendingWrite();
     const auto completed = [this, work] {
         this->diskBusy = false;
         this->sendAll(work->afterSync);
@@ -322,9 +322,9 @@
 }
 
 template<ReplicatedState State>
-void ReplicaNode<State>::sendAll(std::vector<consensus::Outbound> &messages)
+void ReplicaNode<State>::sendAll(std::vector<consensus::OutboundMessage> &messages)
 {
-    for (consensus::Outbound &message : messages) {
+    for (consensus::OutboundMessage &message : messages) {
         wire::PeerFrameT frame;
         frame.group = this->options.name;
         frame.fromReplica = this->store->identity();
@@ -336,7 +336,7 @@
 }
 
 template<ReplicatedState State>
-void ReplicaNode<State>::applyOne(const wire::LogRecordT &entry)
+void ReplicaNode<State>::applyEntry(const wire::LogRecordT &entry)
 {
     this->appliedIndex = entry.index;
     this->appliedEntries.add();
@@ -359,16 +359,16 @@
 }
 
 template<ReplicatedState State>
-void ReplicaNode<State>::compactIfLong()
+void ReplicaNode<State>::compactIfNeeded()
 {
-    if (this->diskBusy || !this->waiting.isEmpty || this->core->lastIndex() - this->core->firstIndex() < detail::entriesPerSnapshot) {
+    if (this->diskBusy || !this->pendingWrite.isEmpty || this->core->lastIndex() - this->core->firstIndex() < detail::entriesPerSnapshot) {
         return;
     }
     this->core->compact(this->appliedIndex, this->stateMachine.snapshot());
-    consensus::Effects effects = this->core->takeEffects();
-    this->sendAll(effects.now);
-    this->mergeDurable(effects);
-    this->writeDurable();
+    consensus::Effects effects = this->core->drainEffects();
+    this->sendAll(effects.immediate);
+    this->mergePendingWrite(effects);
+    this->submitPendingWrite();
 }
 
 } // namespace paddlepier::replication
--- a/paddlepier/replication/replicanode_test.cpp
+++ b/paddlepier/replication/replicanode_test.cpp
@@ -80,9 +80,9 @@
         options.name = "test";
         options.folder = this->folder + "/test";
         options.instance = "127.0.0.1:1";
-        options.founders = {"127.0.0.1:1"};
-        options.heartbeat = absl::Milliseconds(100);
-        options.election = absl::Milliseconds(500);
+        options.initialInstances = {"127.0.0.1:1"};
+        options.heartbeatInterval = absl::Milliseconds(100);
+        options.electionTimeout = absl::Milliseconds(500);
         this->node = std::make_unique<Node>(
             options, this->disk, [](const std::string &, const wire::PeerFrameT &) {}, this->counters, this->now, 7);
     }
@@ -90,7 +90,7 @@
     /** Waits for the disk and runs what it posted, without flushing the node. */
     void finishWrites()
     {
-        for (const Mailbox::Work &work : this->mailbox.take(absl::Milliseconds(20))) {
+        for (const Mailbox::Work &work : this->mailbox.drain(absl::Milliseconds(20))) {
             work();
         }
     }
--- a/paddlepier/routing/quickrouter.cpp
+++ b/paddlepier/routing/quickrouter.cpp
@@ -43,14 +43,14 @@
 void QuickRouter::submit(Timestamp now, const QuickRequest &request)
 {
     this->retryTokens = std::min(this->retryTokens + this->limits.retryBudget, mostRetryTokens);
-    Pending &pending = this->pendings[request.id];
+    PendingRequest &pending = this->pendingRequests[request.id];
     pending.request = request;
     this->dispatch(now, request.id);
 }
 
 void QuickRouter::dispatch(Timestamp now, std::uint64_t id)
 {
-    Pending &pending = this->pendings.at(id);
+    PendingRequest &pending = this->pendingRequests.at(id);
     if (now >= pending.request.deadline) {
         this->giveUp(now, id, GiveUpReason::DeadlinePassed);
         return;
@@ -66,7 +66,7 @@
     this->enqueueOrGiveUp(now, pending);
 }
 
-void QuickRouter::enqueueOrGiveUp(Timestamp now, Pending &pending)
+void QuickRouter::enqueueOrGiveUp(Timestamp now, PendingRequest &pending)
 {
     const std::uint64_t id = pending.request.id;
     const bool hasShare = absl::c_any_of(this->backends, [now](const auto &entry) { return entry.second.cap > 0 && now < entry.second.leaseEnd; });
@@ -81,7 +81,7 @@
     }
 }
 
-bool QuickRouter::hasRoom(Timestamp now, const Backend &backend) const
+bool QuickRouter::hasFreeSlot(Timestamp now, const Backend &backend) const
 {
     if (!this->guards.respectShare) {
         return true;
@@ -94,11 +94,11 @@
     return static_cast<std::size_t>(absl::c_count_if(this->backends, [now](const auto &entry) { return now < entry.second.ejectedUntil; }));
 }
 
-std::string QuickRouter::choose(Timestamp now, const std::string &avoid)
+std::string QuickRouter::chooseBackend(Timestamp now, const std::string &avoid)
 {
     const auto isUsable = [&](const std::string &name) {
         const Backend &backend = this->backends.at(name);
-        return name != avoid && this->hasRoom(now, backend) && now >= backend.ejectedUntil;
+        return name != avoid && this->hasFreeSlot(now, backend) && now >= backend.ejectedUntil;
     };
     if (this->names.empty()) {
         return "";
@@ -128,16 +128,16 @@
     }
     // Better the worker that failed this request before, or an ejected one, than none.
     for (const std::string &name : this->names) {
-        if (this->hasRoom(now, this->backends.at(name)) && name == avoid) {
+        if (this->hasFreeSlot(now, this->backends.at(name)) && name == avoid) {
             return name;
         }
     }
     return "";
 }
 
-bool QuickRouter::sendToWorker(Timestamp now, Pending &pending)
+bool QuickRouter::sendToWorker(Timestamp now, PendingRequest &pending)
 {
-    const std::string name = this->choose(now, pending.lastTarget);
+    const std::string name = this->chooseBackend(now, pending.lastTarget);
     if (name.empty()) {
         return false;
     }
@@ -154,9 +154,9 @@
     return true;
 }
 
-bool QuickRouter::sendHop(Timestamp now, Pending &pending)
+bool QuickRouter::sendHop(Timestamp now, PendingRequest &pending)
 {
-    if (!pending.request.mayHop || pending.hopped || this->hopTargets.empty() || this->hopFlights >= this->limits.hopsInFlight) {
+    if (!pending.request.mayHop || pending.hasHopped || this->hopTargets.empty() || this->hopsInFlight >= this->limits.hopsInFlight) {
         return false;
     }
     std::uniform_int_distribution<std::size_t> any(0, this->hopTargets.size() - 1);
@@ -166,8 +166,8 @@
         if (now < target.avoidUntil) {
             continue;
         }
-        pending.hopped = true;
-        ++this->hopFlights;
+        pending.hasHopped = true;
+        ++this->hopsInFlight;
         Attempt attempt;
         attempt.target = target.name;
         attempt.address = target.address;
@@ -178,7 +178,7 @@
     return false;
 }
 
-void QuickRouter::send(Timestamp now, Pending &pending, Attempt attempt)
+void QuickRouter::send(Timestamp now, PendingRequest &pending, Attempt attempt)
 {
     ++pending.attempts;
     pending.lastTarget = attempt.target;
@@ -188,25 +188,25 @@
     // A first attempt that hangs must leave an idempotent request time for a second one.
     const bool leavesTime = pending.request.isIdempotent && pending.attempts == 1 && !attempt.isHop;
     attempt.deadline = leavesTime ? remaining / 2 : remaining;
-    attempt.timeout = attempt.isHop ? attempt.deadline : this->limits.longestRequest;
-    Flight flight;
+    attempt.timeout = attempt.isHop ? attempt.deadline : this->limits.maxRequestTime;
+    InFlightAttempt flight;
     flight.request = pending.request.id;
     flight.target = attempt.target;
     flight.isHop = attempt.isHop;
     flight.started = now;
     flight.deadline = now + attempt.deadline;
-    this->flights.emplace(attempt.id, std::move(flight));
+    this->inFlightAttempts.emplace(attempt.id, std::move(flight));
     this->attempts.push_back(std::move(attempt));
 }
 
-void QuickRouter::ended(Timestamp now, std::uint64_t attempt, AttemptEnd end)
+void QuickRouter::recordAttemptEnd(Timestamp now, std::uint64_t attempt, AttemptEnd end)
 {
-    const auto found = this->flights.find(attempt);
-    if (found == this->flights.end()) {
+    const auto found = this->inFlightAttempts.find(attempt);
+    if (found == this->inFlightAttempts.end()) {
         return;
     }
-    const Flight flight = std::move(found->second);
-    this->flights.erase(found);
+    const InFlightAttempt flight = std::move(found->second);
+    this->inFlightAttempts.erase(found);
     this->releaseSlot(now, flight, end);
     if (!flight.isAbandoned && (end == AttemptEnd::Answered || end == AttemptEnd::Failed)) {
         this->finish(flight.request, end == AttemptEnd::Answered ? RequestOutcome::Completed : RequestOutcome::Failed, attempt, GiveUpReason::None);
@@ -218,8 +218,8 @@
 
 void QuickRouter::attemptFailed(Timestamp now, std::uint64_t request, AttemptEnd end)
 {
-    Pending &pending = this->pendings.at(request);
-    pending.maybeRun = pending.maybeRun || end == AttemptEnd::Broken;
+    PendingRequest &pending = this->pendingRequests.at(request);
+    pending.mayHaveRun = pending.mayHaveRun || end == AttemptEnd::Broken;
     if (this->mayRetry(pending, end, now)) {
         this->dispatch(now, request);
     } else {
@@ -227,10 +227,10 @@
     }
 }
 
-void QuickRouter::abandonLate(Timestamp now)
+void QuickRouter::abandonExpired(Timestamp now)
 {
     std::vector<std::uint64_t> late;
-    for (auto &[id, flight] : this->flights) {
+    for (auto &[id, flight] : this->inFlightAttempts) {
         if (!flight.isAbandoned && now >= flight.deadline) {
             flight.isAbandoned = true;
             late.push_back(flight.request);
@@ -241,10 +241,10 @@
     }
 }
 
-void QuickRouter::releaseSlot(Timestamp now, const Flight &flight, AttemptEnd end)
+void QuickRouter::releaseSlot(Timestamp now, const InFlightAttempt &flight, AttemptEnd end)
 {
     if (flight.isHop) {
-        --this->hopFlights;
+        --this->hopsInFlight;
         if (end == AttemptEnd::NotSent || end == AttemptEnd::Refused) {
             const auto target = absl::c_find_if(this->hopTargets, [&flight](const HopTarget &hop) { return hop.name == flight.target; });
             if (target != this->hopTargets.end()) {
@@ -258,17 +258,17 @@
         return;
     }
     if (end == AttemptEnd::Broken && this->guards.holdSlotOfBroken) {
-        this->heldSlots.emplace(flight.started + this->limits.longestRequest + stopMargin, this->nextAttempt++, flight.target);
+        this->heldSlots.emplace(flight.started + this->limits.maxRequestTime + stopMargin, this->nextAttempt++, flight.target);
     } else {
         --found->second.inUse;
     }
     if (end == AttemptEnd::Answered || end == AttemptEnd::Failed) {
         this->meanServiceSeconds += smoothing * (absl::ToDoubleSeconds(now - flight.started) - this->meanServiceSeconds);
     }
-    this->noteResult(now, found->second, end);
+    this->recordResult(now, found->second, end);
 }
 
-void QuickRouter::noteResult(Timestamp now, Backend &backend, AttemptEnd end)
+void QuickRouter::recordResult(Timestamp now, Backend &backend, AttemptEnd end)
 {
     if (end == AttemptEnd::Answered) {
         backend.failures = 0;
@@ -279,7 +279,7 @@
     }
     ++backend.failures;
     // Rounded up, so that in a small data centre too more than one can be left out; but never the last one.
-    const auto part = static_cast<std::size_t>(std::ceil(this->limits.ejectedPart * static_cast<double>(this->backends.size())));
+    const auto part = static_cast<std::size_t>(std::ceil(this->limits.maxEjectedShare * static_cast<double>(this->backends.size())));
     const std::size_t mostEjected = std::min(part, this->backends.size() - 1);
     if (backend.failures < this->limits.failuresToEject || this->ejectedCount(now) >= mostEjected) {
         return;
@@ -288,13 +288,13 @@
     backend.ejectedUntil = now + shortestEjection * (1 << exponent);
 }
 
-bool QuickRouter::mayRetry(const Pending &pending, AttemptEnd end, Timestamp now)
+bool QuickRouter::mayRetry(const PendingRequest &pending, AttemptEnd end, Timestamp now)
 {
     if (pending.attempts >= this->limits.attempts || now >= pending.request.deadline) {
         return false;
     }
     if (end == AttemptEnd::NotSent || end == AttemptEnd::Refused) {
-        return !pending.maybeRun || pending.request.isIdempotent;
+        return !pending.mayHaveRun || pending.request.isIdempotent;
     }
     const bool mayRepeat = pending.request.isIdempotent || !this->guards.repeatOnlyIdempotent;
     if (!mayRepeat || this->retryTokens < 1) {
@@ -312,12 +312,12 @@
     result.attempt = attempt;
     result.reason = reason;
     this->finished.push_back(result);
-    this->pendings.erase(id);
+    this->pendingRequests.erase(id);
 }
 
 void QuickRouter::giveUp(Timestamp now, std::uint64_t id, GiveUpReason reason)
 {
-    const bool maybeRun = this->pendings.at(id).maybeRun;
+    const bool maybeRun = this->pendingRequests.at(id).mayHaveRun;
     this->finish(id, maybeRun ? RequestOutcome::Unknown : RequestOutcome::NotRun, 0, reason);
     this->finished.back().retryAfter = this->retryAfter(now);
 }
@@ -356,7 +356,7 @@
         this->queue.erase(this->queue.begin());
         this->giveUp(now, id, GiveUpReason::DeadlinePassed);
     }
-    this->abandonLate(now);
+    this->abandonExpired(now);
     this->dispatchQueue(now);
 }
 
@@ -364,7 +364,7 @@
 {
     while (!this->queue.empty()) {
         const auto first = *this->queue.begin();
-        if (first.first > now && !this->sendToWorker(now, this->pendings.at(first.second))) {
+        if (first.first > now && !this->sendToWorker(now, this->pendingRequests.at(first.second))) {
             return;
         }
         this->queue.erase(first);
@@ -421,12 +421,12 @@
     }
 }
 
-std::vector<Attempt> QuickRouter::takeAttempts()
+std::vector<Attempt> QuickRouter::drainAttempts()
 {
     return std::exchange(this->attempts, {});
 }
 
-std::vector<Finished> QuickRouter::takeFinished()
+std::vector<Finished> QuickRouter::drainFinished()
 {
     return std::exchange(this->finished, {});
 }
@@ -449,7 +449,7 @@
 
 std::uint32_t QuickRouter::demand() const
 {
-    return static_cast<std::uint32_t>(this->pendings.size());
+    return static_cast<std::uint32_t>(this->pendingRequests.size());
 }
 
 std::size_t QuickRouter::queued() const
@@ -459,7 +459,7 @@
 
 std::size_t QuickRouter::inFlight() const
 {
-    return this->flights.size();
+    return this->inFlightAttempts.size();
 }
 
 } // namespace paddlepier::routing
--- a/paddlepier/routing/quickrouter.h
+++ b/paddlepier/routing/quickrouter.h
@@ -97,12 +97,12 @@
     std::size_t hopsInFlight = 64;
     std::uint32_t failuresToEject = 3;
     /** The longest that a worker may take for a request, whatever its caller's deadline. */
-    Duration longestRequest = absl::Seconds(10);
+    Duration maxRequestTime = absl::Seconds(10);
     /** Lease of a share, and the clocks' largest rate difference. */
     Duration shareLease = absl::Milliseconds(1500);
     std::uint32_t driftPerMille = 10;
     /** Largest part of the workers that may be ejected at a time. */
-    double ejectedPart = 0.34;
+    double maxEjectedShare = 0.34;
 };
 
 /** Safety checks that only a test switches off, to show that it notices. */
@@ -118,7 +118,7 @@
     QuickRouter(RouterLimits routerLimits, std::uint64_t seed, RouterGuards routerGuards = {});
 
     void submit(Timestamp now, const QuickRequest &request);
-    void ended(Timestamp now, std::uint64_t attempt, AttemptEnd end);
+    void recordAttemptEnd(Timestamp now, std::uint64_t attempt, AttemptEnd end);
     void tick(Timestamp now);
 
     /** Changes the bounds that the configuration sets. */
@@ -130,8 +130,8 @@
     /** Entries of other data centres to which a request may hop: name and address. */
     void setHopTargets(const std::vector<std::pair<std::string, std::string>> &targets);
 
-    std::vector<Attempt> takeAttempts();
-    std::vector<Finished> takeFinished();
+    std::vector<Attempt> drainAttempts();
+    std::vector<Finished> drainFinished();
 
     /** What this entry holds, for the next request for shares: of every worker, or where more is in use than the share. */
     std::vector<wire::ShareUseT> uses(bool onlyAboveShare) const;
@@ -154,16 +154,16 @@
         Timestamp ejectedUntil = absl::InfinitePast();
     };
 
-    struct Pending {
+    struct PendingRequest {
         QuickRequest request;
         std::uint32_t attempts = 0;
         /** An attempt reached, or may have reached, a worker. */
-        bool maybeRun = false;
-        bool hopped = false;
+        bool mayHaveRun = false;
+        bool hasHopped = false;
         std::string lastTarget;
     };
 
-    struct Flight {
+    struct InFlightAttempt {
         std::uint64_t request = 0;
         std::string target;
         bool isHop = false;
@@ -181,20 +181,20 @@
 
     void dispatch(Timestamp now, std::uint64_t id);
     void dispatchQueue(Timestamp now);
-    void abandonLate(Timestamp now);
+    void abandonExpired(Timestamp now);
     void attemptFailed(Timestamp now, std::uint64_t request, AttemptEnd end);
-    bool sendToWorker(Timestamp now, Pending &pending);
-    bool sendHop(Timestamp now, Pending &pending);
-    void send(Timestamp now, Pending &pending, Attempt attempt);
-    void enqueueOrGiveUp(Timestamp now, Pending &pending);
+    bool sendToWorker(Timestamp now, PendingRequest &pending);
+    bool sendHop(Timestamp now, PendingRequest &pending);
+    void send(Timestamp now, PendingRequest &pending, Attempt attempt);
+    void enqueueOrGiveUp(Timestamp now, PendingRequest &pending);
     void finish(std::uint64_t id, wire::RequestOutcome outcome, std::uint64_t attempt, GiveUpReason reason);
     void giveUp(Timestamp now, std::uint64_t id, GiveUpReason reason);
-    bool mayRetry(const Pending &pending, AttemptEnd end, Timestamp now);
-    void noteResult(Timestamp now, Backend &backend, AttemptEnd end);
-    void releaseSlot(Timestamp now, const Flight &flight, AttemptEnd end);
+    bool mayRetry(const PendingRequest &pending, AttemptEnd end, Timestamp now);
+    void recordResult(Timestamp now, Backend &backend, AttemptEnd end);
+    void releaseSlot(Timestamp now, const InFlightAttempt &flight, AttemptEnd end);
 
-    bool hasRoom(Timestamp now, const Backend &backend) const;
-    std::string choose(Timestamp now, const std::string &avoid);
+    bool hasFreeSlot(Timestamp now, const Backend &backend) const;
+    std::string chooseBackend(Timestamp now, const std::string &avoid);
     std::size_t ejectedCount(Timestamp now) const;
     Duration expectedWait(Timestamp now) const;
     Duration retryAfter(Timestamp now);
@@ -206,13 +206,13 @@
     // Invariant: the keys of `backends`, so that a random one is found in O(1).
     std::vector<std::string> names;
     std::vector<HopTarget> hopTargets;
-    absl::flat_hash_map<std::uint64_t, Pending> pendings;
-    absl::flat_hash_map<std::uint64_t, Flight> flights;
+    absl::flat_hash_map<std::uint64_t, PendingRequest> pendingRequests;
+    absl::flat_hash_map<std::uint64_t, InFlightAttempt> inFlightAttempts;
     // Invariant: holds exactly the pending requests that have no flight.
     std::set<std::pair<Timestamp, std::uint64_t>> queue;
     // Slots of attempts that ended without a whole answer, by the time when their worker must have stopped.
     std::set<std::tuple<Timestamp, std::uint64_t, std::string>> heldSlots;
-    std::size_t hopFlights = 0;
+    std::size_t hopsInFlight = 0;
     std::uint64_t nextAttempt = 1;
     double retryTokens = 1;
     double meanServiceSeconds = 0.01;
--- a/paddlepier/routing/quickrouter_test.cpp
+++ b/paddlepier/routing/quickrouter_test.cpp
@@ -39,7 +39,7 @@
     Attempt submitOne(QuickRouter &router, std::uint64_t id, bool isIdempotent)
     {
         router.submit(this->now, {id, this->now + absl::Seconds(2), isIdempotent, true});
-        const std::vector<Attempt> attempts = router.takeAttempts();
+        const std::vector<Attempt> attempts = router.drainAttempts();
         REQUIRE(attempts.size() == 1);
         return attempts[0];
     }
@@ -53,7 +53,7 @@
     std::mt19937_64 random(seed);
     Timestamp now = absl::UnixEpoch() + absl::Hours(1);
     RouterLimits limits;
-    limits.longestRequest = absl::Seconds(2);
+    limits.maxRequestTime = absl::Seconds(2);
     QuickRouter router(limits, seed, guards);
     const std::map<std::string, std::uint32_t> slots{{"w1", 3}, {"w2", 2}};
     struct Work {
@@ -84,10 +84,10 @@
             }
             const Work work = works[index];
             works[index].told = absl::InfiniteFuture();
-            router.ended(now, work.attempt.id, work.end);
+            router.recordAttemptEnd(now, work.attempt.id, work.end);
         }
         router.tick(now);
-        for (const Attempt &attempt : router.takeAttempts()) {
+        for (const Attempt &attempt : router.drainAttempts()) {
             Work work;
             work.attempt = attempt;
             const std::uint64_t fate = random() % 10;
@@ -110,7 +110,7 @@
                 return absl::StrCat(worker, " had ", count, " requests at a time");
             }
         }
-        for (const Finished &result : router.takeFinished()) {
+        for (const Finished &result : router.drainFinished()) {
             if (++finished[result.request] > 1) {
                 return "a request was finished twice";
             }
@@ -172,7 +172,7 @@
 {
     QuickRouter router({}, 1);
     router.submit(this->now, {1, this->now + absl::Seconds(2), true, false});
-    const std::vector<Finished> finished = router.takeFinished();
+    const std::vector<Finished> finished = router.drainFinished();
     REQUIRE(finished.size() == 1);
     REQUIRE(finished[0].outcome == wire::RequestOutcome::NotRun);
     REQUIRE(finished[0].reason == GiveUpReason::NoShare);
@@ -185,7 +185,7 @@
     const Attempt first = this->submitOne(router, 1, true);
     this->now += absl::Seconds(1);
     router.tick(this->now);
-    const std::vector<Attempt> second = router.takeAttempts();
+    const std::vector<Attempt> second = router.drainAttempts();
     REQUIRE(second.size() == 1);
     REQUIRE(second[0].target != first.target);
 }
@@ -195,9 +195,9 @@
     QuickRouter router({}, 1);
     router.setShares(this->now, this->now, sharesOf({{"w1", 2}}));
     const Attempt attempt = this->submitOne(router, 1, false);
-    router.ended(this->now, attempt.id, AttemptEnd::Broken);
-    REQUIRE(router.takeAttempts().empty());
-    REQUIRE(router.takeFinished().at(0).outcome == wire::RequestOutcome::Unknown);
+    router.recordAttemptEnd(this->now, attempt.id, AttemptEnd::Broken);
+    REQUIRE(router.drainAttempts().empty());
+    REQUIRE(router.drainFinished().at(0).outcome == wire::RequestOutcome::Unknown);
 }
 
 TEST_CASE_METHOD(QuickRouterFixture, "worker_failsEverything_isLeftAlone")
@@ -208,8 +208,8 @@
     for (std::uint64_t id = 1; id <= 200; ++id) {
         const Attempt attempt = this->submitOne(router, id, false);
         lateToBad += id > 100 && attempt.target == "bad" ? 1 : 0;
-        router.ended(this->now, attempt.id, attempt.target == "bad" ? AttemptEnd::Failed : AttemptEnd::Answered);
-        router.takeFinished();
+        router.recordAttemptEnd(this->now, attempt.id, attempt.target == "bad" ? AttemptEnd::Failed : AttemptEnd::Answered);
+        router.drainFinished();
     }
     REQUIRE(lateToBad == 0);
 }
--- a/paddlepier/routing/sharedealer.cpp
+++ b/paddlepier/routing/shareallocator.cpp
@@ -1,6 +1,6 @@
 // Dealing of workers' slots to entry instances.
 
-#include "paddlepier/routing/sharedealer.h"
+#include "paddlepier/routing/shareallocator.h"
 
 #include "paddlepier/base/error.h"
 
@@ -12,7 +12,10 @@
 namespace paddlepier::routing
 {
 
-ShareDealer::ShareDealer(std::map<std::string, std::vector<std::string>> entriesByPartner, ShareTiming shareTiming, Timestamp since, ShareGuards shareGuards)
+ShareAllocator::ShareAllocator(std::map<std::string, std::vector<std::string>> entriesByPartner,
+                               ShareTiming shareTiming,
+                               Timestamp since,
+                               ShareGuards shareGuards)
     : entries(std::move(entriesByPartner))
     , timing(shareTiming)
     , leaderSince(since)
@@ -20,13 +23,13 @@
 {
 }
 
-Duration ShareDealer::holdTime() const
+Duration ShareAllocator::holdTime() const
 {
-    const Duration longest = this->timing.lease + this->timing.longestRequest;
+    const Duration longest = this->timing.lease + this->timing.maxRequestTime;
     return longest * (1.0 + 2.0 * this->timing.driftPerMille / 1000.0);
 }
 
-void ShareDealer::dropSilent(Timestamp now)
+void ShareAllocator::removeUnresponsive(Timestamp now)
 {
     for (auto &[partner, byKey] : this->holders) {
         for (auto holder = byKey.begin(); holder != byKey.end();) {
@@ -35,17 +38,17 @@
     }
 }
 
-bool ShareDealer::maySpread(Timestamp now, const std::string &partner) const
+bool ShareAllocator::mayRedistribute(Timestamp now, const std::string &partner) const
 {
     if (!this->guards.waitForEntries || now >= this->leaderSince + this->holdTime()) {
         return true;
     }
     const auto known = this->entries.find(partner);
-    const auto spoken = this->heard.find(partner);
-    return spoken != this->heard.end() && spoken->second.size() >= known->second.size();
+    const auto spoken = this->reportedEntries.find(partner);
+    return spoken != this->reportedEntries.end() && spoken->second.size() >= known->second.size();
 }
 
-std::uint32_t ShareDealer::heldByOthers(const std::string &partner, const std::string &worker, const HolderKey &self) const
+std::uint32_t ShareAllocator::heldByOthers(const std::string &partner, const std::string &worker, const HolderKey &self) const
 {
     std::uint32_t sum = 0;
     for (const auto &[key, holder] : this->holders.at(partner)) {
@@ -57,7 +60,7 @@
     return sum;
 }
 
-std::uint32_t ShareDealer::demandOf(const std::string &partner, const std::string &instance) const
+std::uint32_t ShareAllocator::demandOf(const std::string &partner, const std::string &instance) const
 {
     std::uint32_t demand = 0;
     for (const auto &[key, holder] : this->holders.at(partner)) {
@@ -70,7 +73,7 @@
     return std::bit_ceil(demand + 1);
 }
 
-std::uint32_t ShareDealer::target(const std::string &partner, const std::string &instance, const ServingWorker &worker, std::size_t position) const
+std::uint32_t ShareAllocator::target(const std::string &partner, const std::string &instance, const ServingWorker &worker, std::size_t position) const
 {
     const std::vector<std::string> &names = this->entries.at(partner);
     double all = 0;
@@ -89,7 +92,7 @@
     return cut(before + own) - cut(before);
 }
 
-void ShareDealer::noteHeld(const wire::SharesRequestT &request, bool isBaseKnown, Holder &holder) const
+void ShareAllocator::recordHeld(const wire::SharesRequestT &request, bool isBaseKnown, Holder &holder) const
 {
     holder.held.clear();
     if (isBaseKnown && this->guards.countHeld) {
@@ -102,13 +105,13 @@
     }
 }
 
-wire::SharesReplyT ShareDealer::deal(Timestamp now, const wire::SharesRequestT &request, const std::vector<ServingWorker> &workers)
+wire::SharesReplyT ShareAllocator::allocate(Timestamp now, const wire::SharesRequestT &request, const std::vector<ServingWorker> &workers)
 {
     const auto known = this->entries.find(request.partner);
     if (known == this->entries.end() || std::find(known->second.begin(), known->second.end(), request.instance) == known->second.end()) {
         throw ConflictError(absl::StrCat(request.instance, " is not an entry instance of ", request.partner, " here"));
     }
-    this->dropSilent(now);
+    this->removeUnresponsive(now);
     const HolderKey key{request.instance, request.incarnation};
     const auto &sameRuns = this->holders[request.partner];
     const auto earlier = sameRuns.find(key);
@@ -123,16 +126,16 @@
     }
     holder.demand = request.demand;
     holder.heldUntil = now + this->holdTime();
-    this->noteHeld(request, isBaseKnown, holder);
+    this->recordHeld(request, isBaseKnown, holder);
     holder.sequence = request.sequence;
     if (absl::Milliseconds(request.ageMillis) >= this->holdTime()) {
-        this->heard[request.partner].insert(request.instance);
+        this->reportedEntries[request.partner].insert(request.instance);
     }
 
     wire::SharesReplyT reply;
     reply.isChange = isBaseKnown;
     reply.leaseMillis = static_cast<std::uint32_t>(absl::ToInt64Milliseconds(this->timing.lease));
-    const bool spread = this->maySpread(now, request.partner);
+    const bool spread = this->mayRedistribute(now, request.partner);
     const auto entryCount = static_cast<std::uint32_t>(known->second.size());
     absl::flat_hash_map<std::string, std::uint32_t> granted;
     for (std::size_t position = 0; position < workers.size(); ++position) {
--- a/paddlepier/routing/sharedealer.h
+++ b/paddlepier/routing/shareallocator.h
@@ -16,8 +16,8 @@
 //
 // Thread safety: none; owned by the control thread. deal() is O(workers * entries of the partner).
 
-#ifndef PADDLEPIER_ROUTING_SHAREDEALER_H
-#define PADDLEPIER_ROUTING_SHAREDEALER_H
+#ifndef PADDLEPIER_ROUTING_SHAREALLOCATOR_H
+#define PADDLEPIER_ROUTING_SHAREALLOCATOR_H
 
 #include "paddlepier/base/clock.h"
 #include "paddlepier/wire/api_generated.h"
@@ -56,18 +56,18 @@
 
 struct ShareTiming {
     Duration lease;
-    Duration longestRequest;
+    Duration maxRequestTime;
     std::uint32_t driftPerMille = 10;
 };
 
-class ShareDealer
+class ShareAllocator
 {
 public:
     /**
      * @param entriesByPartner every entry instance of this data centre
      * @param since when this leader was elected
      */
-    ShareDealer(std::map<std::string, std::vector<std::string>> entriesByPartner, ShareTiming shareTiming, Timestamp since, ShareGuards shareGuards = {});
+    ShareAllocator(std::map<std::string, std::vector<std::string>> entriesByPartner, ShareTiming shareTiming, Timestamp since, ShareGuards shareGuards = {});
 
     /**
      * Answers one entry. @p workers are those of its partner that may get requests now.
@@ -75,7 +75,7 @@
      * @throws ConflictError if a later request of this entry was answered, if @p request names no known entry, or if it is
      *         not complete and this leader doesn't know its base; nothing has changed then
      */
-    wire::SharesReplyT deal(Timestamp now, const wire::SharesRequestT &request, const std::vector<ServingWorker> &workers);
+    wire::SharesReplyT allocate(Timestamp now, const wire::SharesRequestT &request, const std::vector<ServingWorker> &workers);
 
 private:
     /** One run of an entry process; a restarted entry knows nothing of what its earlier run sent. */
@@ -91,11 +91,11 @@
     };
 
     Duration holdTime() const;
-    void dropSilent(Timestamp now);
-    bool maySpread(Timestamp now, const std::string &partner) const;
+    void removeUnresponsive(Timestamp now);
+    bool mayRedistribute(Timestamp now, const std::string &partner) const;
     std::uint32_t heldByOthers(const std::string &partner, const std::string &worker, const HolderKey &self) const;
     std::uint32_t target(const std::string &partner, const std::string &instance, const ServingWorker &worker, std::size_t position) const;
-    void noteHeld(const wire::SharesRequestT &request, bool isBaseKnown, Holder &holder) const;
+    void recordHeld(const wire::SharesRequestT &request, bool isBaseKnown, Holder &holder) const;
     std::uint32_t demandOf(const std::string &partner, const std::string &instance) const;
 
     const std::map<std::string, std::vector<std::string>> entries;
@@ -104,7 +104,7 @@
     const ShareGuards guards;
     // Invariant: for each worker the sum of `held` over all holders of a partner is at most the worker's slots.
     std::map<std::string, std::map<HolderKey, Holder>> holders;
-    std::map<std::string, absl::flat_hash_set<std::string>> heard;
+    std::map<std::string, absl::flat_hash_set<std::string>> reportedEntries;
 };
 
 } // namespace paddlepier::routing
--- a/paddlepier/routing/sharedealer_test.cpp
+++ b/paddlepier/routing/shareallocator_test.cpp
@@ -1,6 +1,6 @@
 // Shares: random entries, losses, restarts and leader changes, with an oracle that adds up what may be in use.
 
-#include "paddlepier/routing/sharedealer.h"
+#include "paddlepier/routing/shareallocator.h"
 
 #include "paddlepier/base/error.h"
 #include "testing/property.h"
@@ -94,7 +94,8 @@
     void elect()
     {
         const ShareTiming timing{lease, longestRequest, 10};
-        this->dealer = std::make_unique<ShareDealer>(std::map<std::string, std::vector<std::string>>{{"p", {"a", "b", "c"}}}, timing, this->now, this->guards);
+        this->dealer =
+            std::make_unique<ShareAllocator>(std::map<std::string, std::vector<std::string>>{{"p", {"a", "b", "c"}}}, timing, this->now, this->guards);
     }
 
     void inject()
@@ -171,7 +172,7 @@
         entry.reply.reset();
         wire::SharesReplyT reply;
         try {
-            reply = this->dealer->deal(this->now, request, {{"w", "127.0.0.1:1", slots, 64, 0, false}});
+            reply = this->dealer->allocate(this->now, request, {{"w", "127.0.0.1:1", slots, 64, 0, false}});
         } catch (const ConflictError &) {
             entry.answered = 0;
             return;
@@ -195,7 +196,7 @@
     std::mt19937_64 random;
     const ShareGuards guards;
     Timestamp now = absl::UnixEpoch() + absl::Hours(1);
-    std::unique_ptr<ShareDealer> dealer;
+    std::unique_ptr<ShareAllocator> dealer;
     std::vector<FakeEntry> entries;
     bool isQuiet = false;
     std::optional<std::string> broken;
@@ -244,11 +245,11 @@
 
 TEST_CASE("deal_unknownEntry_isRefused")
 {
-    ShareDealer dealer({{"p", {"a"}}}, {lease, longestRequest, 10}, absl::UnixEpoch());
+    ShareAllocator dealer({{"p", {"a"}}}, {lease, longestRequest, 10}, absl::UnixEpoch());
     wire::SharesRequestT request;
     request.partner = "p";
     request.instance = "x";
     request.sequence = 1;
     request.isComplete = true;
-    REQUIRE_THROWS_AS(dealer.deal(absl::UnixEpoch(), request, {}), ConflictError);
+    REQUIRE_THROWS_AS(dealer.allocate(absl::UnixEpoch(), request, {}), ConflictError);
 }
--- a/paddlepier/scheduling/placementindex.cpp
+++ b/paddlepier/scheduling/placementindex.cpp
@@ -72,17 +72,17 @@
     this->byName.clear();
 }
 
-void PlacementIndex::take(const std::string &worker, const Resources &need)
+void PlacementIndex::reserve(const std::string &worker, const Resources &need)
 {
     this->change(worker, ledger::minus(this->byName.at(worker)->free, need));
 }
 
-void PlacementIndex::give(const std::string &worker, const Resources &need)
+void PlacementIndex::release(const std::string &worker, const Resources &need)
 {
     this->change(worker, ledger::plus(this->byName.at(worker)->free, need));
 }
 
-const Candidate *PlacementIndex::tightestIn(const Order &order, const Resources &need)
+const Candidate *PlacementIndex::bestFitIn(const Order &order, const Resources &need)
 {
     const Key lowest{need.milliProcessors(), need.memoryMegabytes(), need.accelerators(), nullptr};
     for (auto entry = order.lower_bound(lowest); entry != order.end(); ++entry) {
@@ -94,15 +94,15 @@
     return nullptr;
 }
 
-const Candidate *PlacementIndex::tightest(const Resources &need) const
+const Candidate *PlacementIndex::bestFit(const Resources &need) const
 {
     if (need.accelerators() == 0) {
-        const Candidate *found = tightestIn(this->plain, need);
+        const Candidate *found = bestFitIn(this->plain, need);
         if (found != nullptr) {
             return found;
         }
     }
-    return tightestIn(this->accelerated, need);
+    return bestFitIn(this->accelerated, need);
 }
 
 const Candidate *PlacementIndex::find(const std::string &worker) const
--- a/paddlepier/scheduling/placementindex.h
+++ b/paddlepier/scheduling/placementindex.h
@@ -46,15 +46,15 @@
     void clear();
 
     /** Changes what a worker has free by a tentative placement. */
-    void take(const std::string &worker, const Resources &need);
-    void give(const std::string &worker, const Resources &need);
+    void reserve(const std::string &worker, const Resources &need);
+    void release(const std::string &worker, const Resources &need);
 
     /** The worker on which @p need leaves the fewest processors, then the least memory; null if it fits nowhere. */
-    const Candidate *tightest(const Resources &need) const;
+    const Candidate *bestFit(const Resources &need) const;
 
     /** Calls @p visit for workers on which @p need fits, most free processors first, until it returns false. */
     template<typename Visitor>
-    void visitRoomiest(const Resources &need, Visitor visit) const;
+    void visitMostFree(const Resources &need, Visitor visit) const;
 
     const Candidate *find(const std::string &worker) const;
     std::size_t size() const;
@@ -68,7 +68,7 @@
     using Order = std::set<Key, KeyOrder>;
 
     static Key keyOf(const Candidate &candidate);
-    static const Candidate *tightestIn(const Order &order, const Resources &need);
+    static const Candidate *bestFitIn(const Order &order, const Resources &need);
     Order &orderOf(const Candidate &candidate);
     void change(const std::string &worker, const Resources &free);
 
@@ -79,7 +79,7 @@
 };
 
 template<typename Visitor>
-void PlacementIndex::visitRoomiest(const Resources &need, Visitor visit) const
+void PlacementIndex::visitMostFree(const Resources &need, Visitor visit) const
 {
     for (const Order *order : {&this->plain, &this->accelerated}) {
         for (auto entry = order->rbegin(); entry != order->rend(); ++entry) {
--- a/paddlepier/scheduling/policies.h
+++ b/paddlepier/scheduling/policies.h
@@ -35,7 +35,7 @@
 public:
     const Candidate *choose(const PlacementIndex &index, const Resources &need) const
     {
-        return index.tightest(need);
+        return index.bestFit(need);
     }
 
     void chose(const Candidate &) const
@@ -62,11 +62,11 @@
     {
         const Candidate *best = nullptr;
         std::size_t visited = 0;
-        index.visitRoomiest(need, [&](const Candidate &candidate) {
+        index.visitMostFree(need, [&](const Candidate &candidate) {
             if (best == nullptr || this->weightOf(candidate) < this->weightOf(*best)) {
                 best = &candidate;
             }
-            return ++visited < mostVisited;
+            return ++visited < maxVisited;
         });
         return best;
     }
@@ -79,7 +79,7 @@
 
 private:
     /** Enough to see several racks of 8, and few enough to stay cheap with thousands of workers. */
-    static constexpr std::size_t mostVisited = 64;
+    static constexpr std::size_t maxVisited = 64;
 
     std::pair<std::size_t, std::size_t> weightOf(const Candidate &candidate) const
     {
--- a/paddlepier/scheduling/scheduler.cpp
+++ b/paddlepier/scheduling/scheduler.cpp
@@ -51,7 +51,7 @@
 
     bool isFull() const
     {
-        return this->placed >= mostPlacementsPerRound;
+        return this->placed >= maxPlacementsPerRound;
     }
 
     bool isKnownTooLarge(const Resources &need) const
@@ -87,8 +87,8 @@
     std::map<std::string, double> kept = std::move(this->quotas);
     *this = Scheduler();
     this->quotas = std::move(kept);
-    ledger.takeChangedWorkers();
-    ledger.takeChangedJobs();
+    ledger.drainChangedWorkers();
+    ledger.drainChangedJobs();
     for (const std::uint64_t id : ledger.queuedJobs()) {
         this->updateJob(ledger, id);
     }
@@ -116,11 +116,11 @@
 
 std::vector<std::string> Scheduler::refresh(ledger::Ledger &ledger)
 {
-    std::vector<std::string> workers = ledger.takeChangedWorkers();
+    std::vector<std::string> workers = ledger.drainChangedWorkers();
     for (const std::string &name : workers) {
         this->updateWorker(ledger, name);
     }
-    for (const std::uint64_t id : ledger.takeChangedJobs()) {
+    for (const std::uint64_t id : ledger.drainChangedJobs()) {
         this->updateJob(ledger, id);
     }
     return workers;
@@ -205,7 +205,7 @@
         double bestShare = 0;
         for (Cursor &cursor : cursors) {
             const double share = ledger::dominantShare(round.used[cursor.partner], round.capacity);
-            const bool isOpen = cursor.next != cursor.end && cursor.passedOver < mostPassedOver;
+            const bool isOpen = cursor.next != cursor.end && cursor.passedOver < maxSkippedJobs;
             if (isOpen && (best == nullptr || share < bestShare)) {
                 best = &cursor;
                 bestShare = share;
@@ -258,7 +258,7 @@
         group->placements.push_back(toPlacement(job, task, chosen->worker));
         round.command.groups.push_back(std::move(group));
         policy.chose(*chosen);
-        this->index.take(chosen->worker, job.spec().resources);
+        this->index.reserve(chosen->worker, job.spec().resources);
         round.count(job);
     }
 }
@@ -268,16 +268,16 @@
     const std::vector<std::uint32_t> tasks = job.placeable(round.atMicros);
     auto group = std::make_unique<wire::PlacementGroupT>();
     for (const std::uint32_t task : tasks) {
-        const Candidate *chosen = this->index.tightest(job.spec().resources);
+        const Candidate *chosen = this->index.bestFit(job.spec().resources);
         if (chosen == nullptr) {
             break;
         }
         group->placements.push_back(toPlacement(job, task, chosen->worker));
-        this->index.take(chosen->worker, job.spec().resources);
+        this->index.reserve(chosen->worker, job.spec().resources);
     }
     if (tasks.empty() || group->placements.size() < tasks.size()) {
         for (const std::unique_ptr<wire::PlacementT> &placement : group->placements) {
-            this->index.give(placement->worker, job.spec().resources);
+            this->index.release(placement->worker, job.spec().resources);
         }
         return;
     }
@@ -314,7 +314,7 @@
         return wire::WaitReason::OverQuota;
     }
     const bool isGang = job.spec().kind == wire::JobKind::Gang;
-    return isGang && this->index.tightest(job.spec().resources) != nullptr ? wire::WaitReason::WaitingForGang : wire::WaitReason::NoCapacity;
+    return isGang && this->index.bestFit(job.spec().resources) != nullptr ? wire::WaitReason::WaitingForGang : wire::WaitReason::NoCapacity;
 }
 
 } // namespace paddlepier::scheduling
--- a/paddlepier/scheduling/scheduler.h
+++ b/paddlepier/scheduling/scheduler.h
@@ -36,10 +36,10 @@
 {
 
 /** Most tasks placed by one command, hence by one log entry. */
-constexpr std::size_t mostPlacementsPerRound = 512;
+constexpr std::size_t maxPlacementsPerRound = 512;
 
 /** Jobs of one partner and class that may be passed over in a round before the class is left. */
-constexpr std::size_t mostPassedOver = 64;
+constexpr std::size_t maxSkippedJobs = 64;
 
 class Scheduler
 {
--- a/paddlepier/scheduling/scheduler_benchmark.cpp
+++ b/paddlepier/scheduling/scheduler_benchmark.cpp
@@ -82,15 +82,15 @@
     for (auto _ : state) {
         std::vector<std::pair<std::string, wire::Resources>> placed;
         for (const wire::Resources &need : workload.needs) {
-            const Candidate *chosen = index.tightest(need);
+            const Candidate *chosen = index.bestFit(need);
             if (chosen != nullptr) {
                 placed.emplace_back(chosen->worker, need);
-                index.take(placed.back().first, need);
+                index.reserve(placed.back().first, need);
             }
             ++decisions;
         }
         for (const auto &[worker, need] : placed) {
-            index.give(worker, need);
+            index.release(worker, need);
         }
     }
     state.SetItemsProcessed(static_cast<std::int64_t>(decisions));
--- a/paddlepier/storage/framefile.cpp
+++ b/paddlepier/storage/framefile.cpp
@@ -96,7 +96,7 @@
     while (scan.intactBytes < content.size()) {
         const std::optional<std::string_view> payload = frameAt(content, scan.intactBytes);
         if (!payload) {
-            scan.damagedInside = hasFrameAfter(content, scan.intactBytes);
+            scan.hasInteriorDamage = hasFrameAfter(content, scan.intactBytes);
             break;
         }
         scan.frames.emplace_back(*payload);
@@ -177,7 +177,7 @@
 {
     const std::string content = readFile(this->filePath);
     FrameScan scan = scanFrames(content);
-    if (scan.damagedInside) {
+    if (scan.hasInteriorDamage) {
         throw CorruptLogError(absl::StrCat(this->filePath, ": damaged at byte ", scan.intactBytes, " before intact frames"));
     }
     this->torn = content.size() - scan.intactBytes;
@@ -191,7 +191,7 @@
     this->recovered = std::move(scan.frames);
 }
 
-std::vector<std::string> FrameFile::takeRecovered()
+std::vector<std::string> FrameFile::releaseRecovered()
 {
     std::vector<std::string> frames;
     frames.swap(this->recovered);
--- a/paddlepier/storage/framefile.h
+++ b/paddlepier/storage/framefile.h
@@ -43,7 +43,7 @@
     FrameFile &operator=(const FrameFile &) = delete;
 
     /** Frames found on opening; the second call gives none. */
-    std::vector<std::string> takeRecovered();
+    std::vector<std::string> releaseRecovered();
 
     /** Bytes of a torn last write that opening cut off. */
     std::size_t tornBytes() const;
@@ -81,7 +81,7 @@
     std::vector<std::string> frames;
     std::size_t intactBytes = 0;
     /** An intact frame follows the first damage. */
-    bool damagedInside = false;
+    bool hasInteriorDamage = false;
 };
 FrameScan scanFrames(std::string_view content);
 
--- a/paddlepier/storage/replicastore.cpp
+++ b/paddlepier/storage/replicastore.cpp
@@ -123,7 +123,7 @@
     if (this->log->tornBytes() > 0) {
         log::warning("storage", "log.torn-tail-cut", {{"folder", this->folderPath}, {"bytes", this->log->tornBytes()}});
     }
-    for (const std::string &frame : this->log->takeRecovered()) {
+    for (const std::string &frame : this->log->releaseRecovered()) {
         auto record = wire::unpack<wire::StoredRecordT>(frame);
         if (const auto *hardState = record.body.AsHardState()) {
             this->recovered.hardState = *hardState;
@@ -138,7 +138,7 @@
     return this->replicaIdentity;
 }
 
-RecoveredState ReplicaStore::takeRecovered()
+RecoveredState ReplicaStore::releaseRecovered()
 {
     return std::move(this->recovered);
 }
@@ -166,7 +166,7 @@
     this->log.reset();
     replaceFile(this->pathOf(logName), content);
     this->log = std::make_unique<FrameFile>(this->pathOf(logName));
-    this->log->takeRecovered();
+    this->log->releaseRecovered();
 }
 
 std::uint64_t ReplicaStore::logBytes() const
--- a/paddlepier/storage/replicastore.h
+++ b/paddlepier/storage/replicastore.h
@@ -57,7 +57,7 @@
     /** `instance/number`; the same over restarts, another one after the folder was lost. */
     const std::string &identity() const;
 
-    RecoveredState takeRecovered();
+    RecoveredState releaseRecovered();
 
     /** Writes a changed hard state, if given, and entries; an entry replaces all with its index or a greater one. */
     void append(const wire::HardStateT *hardState, const std::vector<wire::LogRecordT> &entries);
--- a/paddlepier/storage/replicastore_benchmark.cpp
+++ b/paddlepier/storage/replicastore_benchmark.cpp
@@ -68,7 +68,7 @@
     }
     for (auto _ : state) {
         ReplicaStore store(folder.path, "bench", 1);
-        benchmark::DoNotOptimize(store.takeRecovered());
+        benchmark::DoNotOptimize(store.releaseRecovered());
     }
 }
 BENCHMARK(BM_Recovery)->Arg(500)->Arg(10000)->Arg(100000)->Unit(benchmark::kMillisecond);
--- a/paddlepier/storage/replicastore_test.cpp
+++ b/paddlepier/storage/replicastore_test.cpp
@@ -47,7 +47,7 @@
     RecoveredState reopen() const
     {
         ReplicaStore store(this->folder, "a", 9);
-        return store.takeRecovered();
+        return store.releaseRecovered();
     }
 
     std::string logPath() const
--- a/paddlepier/workload/changelog.h
+++ b/paddlepier/workload/changelog.h
@@ -27,19 +27,19 @@
     using Position = std::uint64_t;
 
     /** Above what a second brings, and some hundred kilobytes. */
-    static constexpr std::size_t mostKeys = 8192;
+    static constexpr std::size_t maxKeys = 8192;
 
-    void note(const Key &key)
+    void record(const Key &key)
     {
         this->keys.push_back(key);
-        if (this->keys.size() > mostKeys) {
+        if (this->keys.size() > maxKeys) {
             this->keys.pop_front();
             ++this->begin;
         }
     }
 
     /** Anything may have changed: every reader reads the whole state anew. */
-    void noteAll()
+    void invalidateAll()
     {
         this->begin += this->keys.size() + 1;
         this->keys.clear();
--- a/paddlepier/workload/changelog_test.cpp
+++ b/paddlepier/workload/changelog_test.cpp
@@ -34,9 +34,9 @@
     CHECK(this->since(0).empty());
     CHECK_FALSE(this->reachesBack);
     const auto position = this->log.end();
-    this->log.note(7);
-    this->log.note(7);
-    this->log.note(8);
+    this->log.record(7);
+    this->log.record(7);
+    this->log.record(8);
     CHECK(this->since(position) == std::vector<int>{7, 7, 8});
     CHECK(this->reachesBack);
     CHECK(this->since(this->log.end()).empty());
@@ -46,19 +46,19 @@
 TEST_CASE_METHOD(ChangeLogFixture, "reader_thatFellBehind_hasToReadAnew")
 {
     const auto position = this->log.end();
-    for (std::size_t number = 0; number <= ChangeLog<int>::mostKeys; ++number) {
-        this->log.note(static_cast<int>(number));
+    for (std::size_t number = 0; number <= ChangeLog<int>::maxKeys; ++number) {
+        this->log.record(static_cast<int>(number));
     }
     CHECK(this->since(position).empty());
     CHECK_FALSE(this->reachesBack);
-    CHECK(this->since(position + 1).size() == ChangeLog<int>::mostKeys);
+    CHECK(this->since(position + 1).size() == ChangeLog<int>::maxKeys);
 }
 
 TEST_CASE_METHOD(ChangeLogFixture, "changeOfEverything_sendsEveryReaderToTheState")
 {
-    this->log.note(1);
+    this->log.record(1);
     const auto position = this->log.end();
-    this->log.noteAll();
+    this->log.invalidateAll();
     this->since(position);
     CHECK_FALSE(this->reachesBack);
     this->since(this->log.end());
--- a/paddlepier/workload/life.h
+++ b/paddlepier/workload/incarnation.h
@@ -12,8 +12,8 @@
 //
 // Thread safety: plain values. Cost: comparing costs as much as comparing the ids.
 
-#ifndef PADDLEPIER_WORKLOAD_LIFE_H
-#define PADDLEPIER_WORKLOAD_LIFE_H
+#ifndef PADDLEPIER_WORKLOAD_INCARNATION_H
+#define PADDLEPIER_WORKLOAD_INCARNATION_H
 
 #include "paddlepier/wire/workload_generated.h"
 
@@ -28,15 +28,15 @@
 namespace paddlepier::workload
 {
 
-struct Life {
+struct Incarnation {
     std::string id;
     /** Milliseconds since 1970; 0 if the worker has never said. */
     std::uint64_t born = 0;
 
     /** Lives of one id follow each other in the order of their births. */
-    auto operator<=>(const Life &) const = default; // NOLINT(modernize-use-nullptr): a false report of this version
+    auto operator<=>(const Incarnation &) const = default; // NOLINT(modernize-use-nullptr): a false report of this version
 
-    bool isAfter(const Life &other) const
+    bool isAfter(const Incarnation &other) const
     {
         return this->id == other.id && this->born > other.born;
     }
@@ -49,19 +49,19 @@
 };
 
 /** For hash tables. */
-struct LifeHash {
-    std::size_t operator()(const Life &life) const
+struct IncarnationHash {
+    std::size_t operator()(const Incarnation &life) const
     {
         return absl::HashOf(life.id, life.born);
     }
 };
 
-inline Life lifeOf(const work::RegisterWorkerT &registration)
+inline Incarnation incarnationOf(const work::RegisterWorkerT &registration)
 {
     return {registration.id, registration.born};
 }
 
-inline Life lifeOf(const work::PlacementT &placement)
+inline Incarnation incarnationOf(const work::PlacementT &placement)
 {
     return {placement.worker, placement.born};
 }
--- a/paddlepier/workload/job.cpp
+++ b/paddlepier/workload/job.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-std::string problemOf(const work::JobSpecT &spec)
+std::string validationError(const work::JobSpecT &spec)
 {
     if (spec.steps.empty()) {
         return "a job needs a step";
@@ -52,8 +52,8 @@
         }
         tasks += spec.steps[number]->count;
     }
-    if (tasks * occurrenceCount(spec) > mostTasks) {
-        return absl::StrCat("over ", mostTasks, " tasks");
+    if (tasks * occurrenceCount(spec) > maxTasksPerJob) {
+        return absl::StrCat("over ", maxTasksPerJob, " tasks");
     }
     return "";
 }
@@ -73,26 +73,26 @@
 
 Job::Job(std::string id, work::QueueSpecT queue, work::JobSpecT spec, std::int64_t nowMillis, std::string team)
     : jobId(std::move(id))
-    , owner(std::move(team))
+    , teamName(std::move(team))
     , queueSpec(std::move(queue))
     , jobSpec(std::move(spec))
     , submittedAt(nowMillis)
 {
-    this->runs.resize(occurrenceCount(this->jobSpec));
-    for (Occurrence &occurrence : this->runs) {
+    this->occurrenceList.resize(occurrenceCount(this->jobSpec));
+    for (Occurrence &occurrence : this->occurrenceList) {
         for (const auto &step : this->jobSpec.steps) {
             occurrence.steps.emplace_back().tasks.resize(step->count);
         }
     }
-    this->countAnew();
+    this->recount();
 }
 
-void Job::countAnew()
+void Job::recount()
 {
-    this->underWay = 0;
-    this->waiting = 0;
+    this->activeRuns = 0;
+    this->waitingCount = 0;
     this->openSteps = 0;
-    for (Occurrence &occurrence : this->runs) {
+    for (Occurrence &occurrence : this->occurrenceList) {
         for (std::uint32_t number = 0; number < occurrence.steps.size(); ++number) {
             Step &step = occurrence.steps[number];
             step.doneTasks = 0;
@@ -103,27 +103,27 @@
                 step.runningTasks += task.hasRun() ? 1 : 0;
                 step.waitingTasks += task.isDone || task.hasRun() ? 0 : 1;
             }
-            this->underWay += step.runningTasks;
-            this->waiting += step.waitingTasks;
+            this->activeRuns += step.runningTasks;
+            this->waitingCount += step.waitingTasks;
             this->openSteps += step.isDone() ? 0 : 1;
             const std::vector<std::uint32_t> &after = this->stepSpec(number).after;
-            step.openBefore = static_cast<std::uint32_t>(
+            step.openPredecessors = static_cast<std::uint32_t>(
                 std::count_if(after.begin(), after.end(), [&occurrence](std::uint32_t earlier) { return !occurrence.steps.at(earlier).isDone(); }));
         }
     }
 }
 
-void Job::countWaiting(Step &step, std::int32_t change)
+void Job::adjustWaiting(Step &step, std::int32_t change)
 {
     step.waitingTasks += static_cast<std::uint32_t>(change);
-    this->waiting += static_cast<std::uint32_t>(change);
+    this->waitingCount += static_cast<std::uint32_t>(change);
 }
 
-void Job::releaseFollowers(Occurrence &occurrence, std::uint32_t step) const
+void Job::releaseSuccessors(Occurrence &occurrence, std::uint32_t step) const
 {
     for (std::uint32_t later = step + 1; later < occurrence.steps.size(); ++later) {
         const std::vector<std::uint32_t> &after = this->stepSpec(later).after;
-        occurrence.steps[later].openBefore -= static_cast<std::uint32_t>(std::count(after.begin(), after.end(), step));
+        occurrence.steps[later].openPredecessors -= static_cast<std::uint32_t>(std::count(after.begin(), after.end(), step));
     }
 }
 
@@ -134,7 +134,7 @@
 
 const std::string &Job::team() const
 {
-    return this->owner;
+    return this->teamName;
 }
 
 const work::JobSpecT &Job::spec() const
@@ -174,22 +174,22 @@
 
 const std::vector<Occurrence> &Job::occurrences() const
 {
-    return this->runs;
+    return this->occurrenceList;
 }
 
 const Task &Job::task(const TaskKey &key) const
 {
-    return this->runs.at(key.occurrence).steps.at(key.step).tasks.at(key.index);
+    return this->occurrenceList.at(key.occurrence).steps.at(key.step).tasks.at(key.index);
 }
 
-Task &Job::taskOf(const TaskKey &key)
+Task &Job::mutableTask(const TaskKey &key)
 {
-    return this->stepOf(key).tasks.at(key.index);
+    return this->mutableStep(key).tasks.at(key.index);
 }
 
-Step &Job::stepOf(const TaskKey &key)
+Step &Job::mutableStep(const TaskKey &key)
 {
-    return this->runs.at(key.occurrence).steps.at(key.step);
+    return this->occurrenceList.at(key.occurrence).steps.at(key.step);
 }
 
 bool Job::hasEnded() const
@@ -199,28 +199,28 @@
 
 bool Job::hasTask(const TaskKey &key) const
 {
-    return key.occurrence < this->runs.size() && key.step < this->runs[key.occurrence].steps.size()
-           && key.index < this->runs[key.occurrence].steps[key.step].tasks.size();
+    return key.occurrence < this->occurrenceList.size() && key.step < this->occurrenceList[key.occurrence].steps.size()
+           && key.index < this->occurrenceList[key.occurrence].steps[key.step].tasks.size();
 }
 
-bool Job::isOver() const
+bool Job::isFullyEnded() const
 {
-    return this->hasEnded() && this->underWay == 0;
+    return this->hasEnded() && this->activeRuns == 0;
 }
 
-std::uint32_t Job::runsUnderWay() const
+std::uint32_t Job::activeRunCount() const
 {
-    return this->underWay;
+    return this->activeRuns;
 }
 
 std::uint32_t Job::waitingTasks() const
 {
-    return this->waiting;
+    return this->waitingCount;
 }
 
-bool Job::hasBegun() const
+bool Job::hasStarted() const
 {
-    return this->anyStarted;
+    return this->hasStartedRun;
 }
 
 std::int64_t Job::dueMillis(std::uint32_t occurrence) const
@@ -230,7 +230,7 @@
 
 bool Job::isReady(std::uint32_t occurrence, std::uint32_t step) const
 {
-    return this->runs.at(occurrence).steps.at(step).openBefore == 0;
+    return this->occurrenceList.at(occurrence).steps.at(step).openPredecessors == 0;
 }
 
 std::uint32_t Job::nextRun(const TaskKey &key) const
@@ -239,7 +239,7 @@
         return this->task(key).lastRun + 1;
     }
     std::uint32_t highest = 0;
-    for (const Task &member : this->runs.at(key.occurrence).steps.at(key.step).tasks) {
+    for (const Task &member : this->occurrenceList.at(key.occurrence).steps.at(key.step).tasks) {
         highest = std::max(highest, member.lastRun);
     }
     return highest + 1;
@@ -254,74 +254,74 @@
     return !wanted.isDone && !wanted.hasRun() && run > wanted.lastRun;
 }
 
-void Job::place(const TaskKey &key, std::uint32_t run, const Life &worker, std::int64_t nowMillis)
+void Job::place(const TaskKey &key, std::uint32_t run, const Incarnation &worker, std::int64_t nowMillis)
 {
-    Step &step = this->stepOf(key);
+    Step &step = this->mutableStep(key);
     Task &placed = step.tasks.at(key.index);
-    this->countWaiting(step, placed.isDone || placed.hasRun() ? 0 : -1);
+    this->adjustWaiting(step, placed.isDone || placed.hasRun() ? 0 : -1);
     placed.lastRun = run;
     placed.worker = worker;
     placed.placedAtMillis = nowMillis;
-    placed.lastTries += placed.lostWorkers.size() >= enoughLosses ? 1 : 0;
+    placed.finalAttempts += placed.lostWorkers.size() >= lossThreshold ? 1 : 0;
     ++step.runningTasks;
-    ++this->underWay;
+    ++this->activeRuns;
     this->jobState = work::JobState::Running;
 }
 
-bool Job::moveRun(const TaskKey &key, std::uint32_t run, const Life &from, const Life &to)
+bool Job::moveRun(const TaskKey &key, std::uint32_t run, const Incarnation &from, const Incarnation &to)
 {
     if (!this->hasTask(key) || this->task(key).worker != from || this->task(key).lastRun != run) {
         return false;
     }
-    this->taskOf(key).worker = to;
+    this->mutableTask(key).worker = to;
     return true;
 }
 
-bool Job::endRun(const TaskKey &key, std::uint32_t run, const Life &worker, work::RunEndKind kind, const std::string &checkpoint, std::int64_t nowMillis)
+bool Job::endRun(const TaskKey &key, std::uint32_t run, const Incarnation &worker, work::RunEndKind kind, const std::string &checkpoint, std::int64_t nowMillis)
 {
     if (!this->hasTask(key)) {
         return false;
     }
-    Task &ended = this->taskOf(key);
+    Task &ended = this->mutableTask(key);
     if (ended.worker != worker || ended.lastRun != run) {
         return false;
     }
     ended.worker = {};
-    Step &step = this->stepOf(key);
+    Step &step = this->mutableStep(key);
     --step.runningTasks;
-    --this->underWay;
-    this->countWaiting(step, ended.isDone ? 0 : 1);
+    --this->activeRuns;
+    this->adjustWaiting(step, ended.isDone ? 0 : 1);
     if (!checkpoint.empty()) {
         ended.checkpoint = checkpoint;
     }
-    this->takeEnd(key, run, kind, nowMillis);
+    this->applyRunEnd(key, run, kind, nowMillis);
     return true;
 }
 
 void Job::endSupersededRun(const TaskKey &key, std::uint32_t run, work::RunEndKind kind, std::int64_t nowMillis)
 {
     if (this->hasTask(key)) {
-        this->takeEnd(key, run, kind, nowMillis);
+        this->applyRunEnd(key, run, kind, nowMillis);
     }
 }
 
-void Job::takeEnd(const TaskKey &key, std::uint32_t run, work::RunEndKind kind, std::int64_t nowMillis)
+void Job::applyRunEnd(const TaskKey &key, std::uint32_t run, work::RunEndKind kind, std::int64_t nowMillis)
 {
     if (isProofOfStart(kind)) {
-        this->taskOf(key).everStarted = true;
-        this->anyStarted = true;
+        this->mutableTask(key).everStarted = true;
+        this->hasStartedRun = true;
     }
     const bool isLasting = this->stepSpec(key.step).isLasting;
     if (kind == work::RunEndKind::Done && !isLasting) {
-        this->finishTask(key);
+        this->completeTask(key);
     } else if (kind == work::RunEndKind::Failed && !isLasting) {
-        this->countFailure(key, run, nowMillis);
+        this->recordFailure(key, run, nowMillis);
     }
     const bool wasLost = kind == work::RunEndKind::WorkerLost || kind == work::RunEndKind::Expired;
     if (!wasLost && nowMillis - this->task(key).placedAtMillis >= settledAfterMillis) {
-        this->forgetLosses(key);
+        this->clearLosses(key);
     }
-    if (!this->hasEnded() && !this->task(key).isDone && this->task(key).lastTries >= mostLastTries) {
+    if (!this->hasEnded() && !this->task(key).isDone && this->task(key).finalAttempts >= maxFinalAttempts) {
         this->fail(work::JobFailureReason::WorkersLost, key, nowMillis);
     }
     if (!this->hasEnded() && this->isComplete()) {
@@ -329,15 +329,15 @@
     }
 }
 
-void Job::finishTask(const TaskKey &key)
+void Job::completeTask(const TaskKey &key)
 {
-    Step &step = this->stepOf(key);
+    Step &step = this->mutableStep(key);
     const bool wasDone = step.isDone();
     const auto finish = [this, &step](Task &task) {
         if (!task.isDone) {
             task.isDone = true;
             ++step.doneTasks;
-            this->countWaiting(step, task.hasRun() ? 0 : -1);
+            this->adjustWaiting(step, task.hasRun() ? 0 : -1);
         }
     };
     if (this->stepSpec(key.step).isGang) {
@@ -347,59 +347,59 @@
     }
     if (!wasDone && step.isDone()) {
         --this->openSteps;
-        this->releaseFollowers(this->runs.at(key.occurrence), key.step);
+        this->releaseSuccessors(this->occurrenceList.at(key.occurrence), key.step);
     }
 }
 
-void Job::countFailure(const TaskKey &key, std::uint32_t run, std::int64_t nowMillis)
+void Job::recordFailure(const TaskKey &key, std::uint32_t run, std::int64_t nowMillis)
 {
     std::uint32_t failures = 0;
     if (this->stepSpec(key.step).isGang) {
-        Step &step = this->stepOf(key);
+        Step &step = this->mutableStep(key);
         step.gangFailures += step.lastFailedRun == run ? 0 : 1;
         step.lastFailedRun = run;
         failures = step.gangFailures;
     } else {
-        failures = ++this->taskOf(key).failures;
+        failures = ++this->mutableTask(key).failures;
     }
     if (!this->task(key).isDone && !this->hasEnded() && failures >= std::max<std::uint32_t>(1, this->queueSpec.maxAttempts)) {
         this->fail(work::JobFailureReason::AttemptsUsedUp, key, nowMillis);
     }
 }
 
-bool Job::noteLoss(const TaskKey &key, const Life &worker, bool isFresh, bool isOnlySuspect, std::int64_t nowMillis)
+bool Job::recordLoss(const TaskKey &key, const Incarnation &worker, bool isFresh, bool isOnlySuspect, std::int64_t nowMillis)
 {
     if (!this->hasTask(key) || this->hasEnded() || this->task(key).isDone) {
         return false;
     }
-    Task &task = this->taskOf(key);
+    Task &task = this->mutableTask(key);
     if (this->stepSpec(key.step).isLasting && nowMillis - task.placedAtMillis >= settledAfterMillis) {
-        this->forgetLosses(key);
+        this->clearLosses(key);
         return false;
     }
     task.lostWorkers.push_back(worker.text());
     task.freshLosses += isFresh ? 1 : 0;
-    const bool isShown = isOnlySuspect && task.lostWorkers.size() >= enoughLosses && task.freshLosses >= enoughFreshLosses;
-    if (!isShown && task.lostWorkers.size() < mostLosses) {
+    const bool isShown = isOnlySuspect && task.lostWorkers.size() >= lossThreshold && task.freshLosses >= freshLossThreshold;
+    if (!isShown && task.lostWorkers.size() < maxLosses) {
         return false;
     }
     this->fail(work::JobFailureReason::WorkersLost, key, nowMillis);
     return true;
 }
 
-void Job::forgetLosses(const TaskKey &key)
+void Job::clearLosses(const TaskKey &key)
 {
     if (this->hasTask(key)) {
-        this->taskOf(key).lostWorkers.clear();
-        this->taskOf(key).freshLosses = 0;
-        this->taskOf(key).lastTries = 0;
+        this->mutableTask(key).lostWorkers.clear();
+        this->mutableTask(key).freshLosses = 0;
+        this->mutableTask(key).finalAttempts = 0;
     }
 }
 
-void Job::countDoubt(const TaskKey &key, std::int32_t change)
+void Job::adjustUnconfirmedLosses(const TaskKey &key, std::int32_t change)
 {
     if (this->hasTask(key)) {
-        std::uint32_t &doubtful = this->taskOf(key).doubtfulWorkers;
+        std::uint32_t &doubtful = this->mutableTask(key).unconfirmedLosses;
         // The job may be a new one under the id of one that was forgotten.
         doubtful += change < 0 && doubtful == 0 ? 0 : static_cast<std::uint32_t>(change);
     }
@@ -416,7 +416,7 @@
     this->end(work::JobState::Failed, nowMillis);
 }
 
-void Job::dropPayload()
+void Job::releasePayload()
 {
     this->jobSpec.payload.clear();
     this->jobSpec.payload.shrink_to_fit();
--- a/paddlepier/workload/job.h
+++ b/paddlepier/workload/job.h
@@ -19,7 +19,7 @@
 #define PADDLEPIER_WORKLOAD_JOB_H
 
 #include "paddlepier/wire/workload_generated.h"
-#include "paddlepier/workload/life.h"
+#include "paddlepier/workload/incarnation.h"
 #include "paddlepier/workload/taskkey.h"
 
 #include <cstddef>
@@ -35,12 +35,12 @@
  * just after the task's start, too. Each further one would cost its neighbours their work; fewer would let two accidents end a job that
  * could be done.
  */
-constexpr std::size_t enoughLosses = 3;
-constexpr std::size_t enoughFreshLosses = 2;
+constexpr std::size_t lossThreshold = 3;
+constexpr std::size_t freshLossThreshold = 2;
 /** Starts after enoughLosses, however they end: a member of a gang may be broken off by another one before it takes its worker down. */
-constexpr std::uint32_t mostLastTries = 2;
+constexpr std::uint32_t maxFinalAttempts = 2;
 /** The same whatever is known of the losses. */
-constexpr std::size_t mostLosses = enoughLosses + mostLastTries;
+constexpr std::size_t maxLosses = lossThreshold + maxFinalAttempts;
 
 /**
  * A lasting task that was placed so long before its worker was known to be lost had been at work: a loss is known within a lease and the
@@ -55,7 +55,7 @@
     std::uint32_t lastRun = 0;
     std::uint32_t failures = 0;
     /** Life of the worker of the run that may be under way; without an id if there is none. */
-    Life worker;
+    Incarnation worker;
     std::string checkpoint;
     /** Workers that were lost while it ran there; mostLosses at most. */
     std::vector<std::string> lostWorkers;
@@ -63,9 +63,9 @@
     std::uint32_t freshLosses = 0;
     std::int64_t placedAtMillis = 0;
     /** Placements since it had enoughLosses. */
-    std::uint32_t lastTries = 0;
+    std::uint32_t finalAttempts = 0;
     /** Workers on which a run of it was given up with its lease, and which may be lost or cut off; kept by the workload. */
-    std::uint32_t doubtfulWorkers = 0;
+    std::uint32_t unconfirmedLosses = 0;
 
     bool hasRun() const
     {
@@ -81,7 +81,7 @@
     /** Losses, those counted that may turn out to be cuts. */
     std::size_t possibleLosses() const
     {
-        return this->lostWorkers.size() + this->doubtfulWorkers;
+        return this->lostWorkers.size() + this->unconfirmedLosses;
     }
 };
 
@@ -102,7 +102,7 @@
     /** Tasks that are neither done nor have a run; beside copies a task can be done and have one. */
     std::uint32_t waitingTasks = 0;
     /** Steps that this one follows and that aren't done. */
-    std::uint32_t openBefore = 0;
+    std::uint32_t openPredecessors = 0;
     std::uint32_t gangFailures = 0;
     std::uint32_t lastFailedRun = 0;
 
@@ -117,7 +117,7 @@
 };
 
 /** Most tasks that one job may have in all its occurrences. */
-constexpr std::uint64_t mostTasks = 20'000;
+constexpr std::uint64_t maxTasksPerJob = 20'000;
 
 class Job
 {
@@ -142,13 +142,13 @@
 
     bool hasEnded() const;
     /** It has ended, and no run of it is under way. */
-    bool isOver() const;
+    bool isFullyEnded() const;
     bool hasTask(const TaskKey &key) const;
-    std::uint32_t runsUnderWay() const;
+    std::uint32_t activeRunCount() const;
     /** Tasks of all steps, ready or not, that are neither done nor have a run; O(1). */
     std::uint32_t waitingTasks() const;
     /** A run of it was on a worker; one that is there now and hasn't ended may not be known here. */
-    bool hasBegun() const;
+    bool hasStarted() const;
     /** When an occurrence may start, in milliseconds since 1970; 0 for a job without repetitions. */
     std::int64_t dueMillis(std::uint32_t occurrence) const;
     /** All steps that @p step follows are done; O(1). */
@@ -158,11 +158,11 @@
 
     /** A run with this number may begin now. */
     bool mayPlace(const TaskKey &key, std::uint32_t run) const;
-    void place(const TaskKey &key, std::uint32_t run, const Life &worker, std::int64_t nowMillis);
+    void place(const TaskKey &key, std::uint32_t run, const Incarnation &worker, std::int64_t nowMillis);
     /** The run that is under way at @p from turns out to be on the next life of that worker. @return whether it was that run */
-    bool moveRun(const TaskKey &key, std::uint32_t run, const Life &from, const Life &to);
+    bool moveRun(const TaskKey &key, std::uint32_t run, const Incarnation &from, const Incarnation &to);
     /** Ends the run that is under way; an end of any other run changes nothing. @return whether it was that run */
-    bool endRun(const TaskKey &key, std::uint32_t run, const Life &worker, work::RunEndKind kind, const std::string &checkpoint, std::int64_t nowMillis);
+    bool endRun(const TaskKey &key, std::uint32_t run, const Incarnation &worker, work::RunEndKind kind, const std::string &checkpoint, std::int64_t nowMillis);
     /** A run that was superseded has ended: done counts as the task's end, failed as an attempt. */
     void endSupersededRun(const TaskKey &key, std::uint32_t run, work::RunEndKind kind, std::int64_t nowMillis);
     void cancel(std::int64_t nowMillis);
@@ -174,37 +174,37 @@
      * @param isOnlySuspect  nothing else on the worker can have been the cause
      * @return whether the task is given up with that
      */
-    bool noteLoss(const TaskKey &key, const Life &worker, bool isFresh, bool isOnlySuspect, std::int64_t nowMillis);
+    bool recordLoss(const TaskKey &key, const Incarnation &worker, bool isFresh, bool isOnlySuspect, std::int64_t nowMillis);
     /** The task has shown that losses before weren't its doing. */
-    void forgetLosses(const TaskKey &key);
+    void clearLosses(const TaskKey &key);
     /** One worker more, or less, of which it isn't known whether it was lost under the task. */
-    void countDoubt(const TaskKey &key, std::int32_t change);
+    void adjustUnconfirmedLosses(const TaskKey &key, std::int32_t change);
     const JobFailure &failure() const;
 
     /** Of an ended job: frees what only a start needs. */
-    void dropPayload();
+    void releasePayload();
 
     /** For a snapshot; the tasks of a job that is over are left out. */
     flatbuffers::Offset<work::JobRecord> pack(flatbuffers::FlatBufferBuilder &builder) const;
     work::JobRecordT record() const;
 
 private:
-    Task &taskOf(const TaskKey &key);
-    Step &stepOf(const TaskKey &key);
-    void takeEnd(const TaskKey &key, std::uint32_t run, work::RunEndKind kind, std::int64_t nowMillis);
-    void finishTask(const TaskKey &key);
+    Task &mutableTask(const TaskKey &key);
+    Step &mutableStep(const TaskKey &key);
+    void applyRunEnd(const TaskKey &key, std::uint32_t run, work::RunEndKind kind, std::int64_t nowMillis);
+    void completeTask(const TaskKey &key);
     /** Counts the tasks and steps anew; O(tasks). */
-    void countAnew();
-    void countWaiting(Step &step, std::int32_t change);
+    void recount();
+    void adjustWaiting(Step &step, std::int32_t change);
     /** The step is done: those that follow it have one step less to wait for. */
-    void releaseFollowers(Occurrence &occurrence, std::uint32_t step) const;
-    void countFailure(const TaskKey &key, std::uint32_t run, std::int64_t nowMillis);
+    void releaseSuccessors(Occurrence &occurrence, std::uint32_t step) const;
+    void recordFailure(const TaskKey &key, std::uint32_t run, std::int64_t nowMillis);
     void end(work::JobState endState, std::int64_t nowMillis);
     void fail(work::JobFailureReason reason, const TaskKey &key, std::int64_t nowMillis);
     bool isComplete() const;
 
     std::string jobId;
-    std::string owner;
+    std::string teamName;
     work::QueueSpecT queueSpec;
     work::JobSpecT jobSpec;
     work::JobState jobState = work::JobState::Queued;
@@ -212,17 +212,17 @@
     std::int64_t submittedAt = 0;
     std::int64_t endedAt = 0;
     JobFailure jobFailure;
-    std::vector<Occurrence> runs;
+    std::vector<Occurrence> occurrenceList;
     // Derived:
-    std::uint32_t underWay = 0;
-    std::uint32_t waiting = 0;
+    std::uint32_t activeRuns = 0;
+    std::uint32_t waitingCount = 0;
     /** In all occurrences. */
     std::uint64_t openSteps = 0;
-    bool anyStarted = false;
+    bool hasStartedRun = false;
 };
 
 /** What is wrong with @p spec, or an empty text. */
-std::string problemOf(const work::JobSpecT &spec);
+std::string validationError(const work::JobSpecT &spec);
 
 } // namespace paddlepier::workload
 
--- a/paddlepier/workload/job_test.cpp
+++ b/paddlepier/workload/job_test.cpp
@@ -54,7 +54,7 @@
     Job made = this->job();
     run(made, key(0, 0), work::RunEndKind::Superseded);
     CHECK(made.task(key(0, 0)).failures == 0);
-    CHECK_FALSE(made.hasBegun());
+    CHECK_FALSE(made.hasStarted());
     made.endSupersededRun(key(0, 0), 1, work::RunEndKind::Failed, 3000);
     run(made, key(0, 0), work::RunEndKind::Failed);
     CHECK(made.state() == work::JobState::Failed);
@@ -68,10 +68,10 @@
     made.place(key(0, 0), 2, {"w2"}, 1000);
     made.endSupersededRun(key(0, 0), 1, work::RunEndKind::Done, 3000);
     CHECK(made.state() == work::JobState::Completed);
-    CHECK(made.runsUnderWay() == 1);
+    CHECK(made.activeRunCount() == 1);
     CHECK(made.endRun(key(0, 0), 2, {"w2"}, work::RunEndKind::Stopped, "", 3100));
     CHECK(made.state() == work::JobState::Completed);
-    CHECK(made.runsUnderWay() == 0);
+    CHECK(made.activeRunCount() == 0);
 }
 
 TEST_CASE_METHOD(JobFixture, "begun_afterRunThatNeverStarted_isFalse")
@@ -79,9 +79,9 @@
     this->spec.steps.push_back(step(1));
     Job made = this->job();
     run(made, key(0, 0), work::RunEndKind::Void);
-    CHECK_FALSE(made.hasBegun());
+    CHECK_FALSE(made.hasStarted());
     run(made, key(0, 0), work::RunEndKind::Stopped);
-    CHECK(made.hasBegun());
+    CHECK(made.hasStarted());
 }
 
 TEST_CASE_METHOD(JobFixture, "placement_beforeEarlierStepIsDone_isRefused")
@@ -129,7 +129,7 @@
     }
     CHECK(made.endRun(key(0, 1), 1, {"w1"}, work::RunEndKind::Done, "", 2000));
     CHECK(made.state() == work::JobState::Completed);
-    CHECK(made.runsUnderWay() == 2);
+    CHECK(made.activeRunCount() == 2);
 }
 
 TEST_CASE_METHOD(JobFixture, "gang_severalMembersOfOneRunFail_countsOneAttempt")
@@ -171,8 +171,8 @@
     CHECK(again.task(key(0, 0)).isDone);
     CHECK(again.task(key(0, 1)).failures == 1);
     CHECK(again.task(key(0, 2)).worker.id == "w3");
-    CHECK(again.runsUnderWay() == 1);
-    CHECK(again.hasBegun());
+    CHECK(again.activeRunCount() == 1);
+    CHECK(again.hasStarted());
 }
 
 TEST_CASE_METHOD(JobFixture, "waitingTasks_besideACopyOfADoneTask_countsThoseToPlace")
@@ -219,7 +219,7 @@
     run(made, key(0, 1), work::RunEndKind::Done);
     made.cancel(2500);
     // A run is under way: what is known of it is still needed.
-    CHECK(Job(made.record()).runsUnderWay() == 1);
+    CHECK(Job(made.record()).activeRunCount() == 1);
     CHECK(made.endRun(key(0, 0), 1, {"w1"}, work::RunEndKind::Stopped, "", 2600));
     Job again(made.record());
     CHECK(again.state() == work::JobState::Cancelled);
@@ -238,14 +238,14 @@
 TEST_CASE("problemOf_stepThatNamesALaterOne_isTold")
 {
     work::JobSpecT spec;
-    CHECK_FALSE(problemOf(spec).empty());
+    CHECK_FALSE(validationError(spec).empty());
     spec.steps.push_back(JobFixture::step(1));
-    CHECK(problemOf(spec).empty());
+    CHECK(validationError(spec).empty());
     spec.steps[0]->after = {0};
-    CHECK_FALSE(problemOf(spec).empty());
+    CHECK_FALSE(validationError(spec).empty());
     spec.steps[0]->after.clear();
     spec.steps[0]->count = 30'000;
-    CHECK_FALSE(problemOf(spec).empty());
+    CHECK_FALSE(validationError(spec).empty());
 }
 
 } // namespace paddlepier::workload
--- a/paddlepier/workload/jobrecord.cpp
+++ b/paddlepier/workload/jobrecord.cpp
@@ -24,7 +24,7 @@
                                   lostWorkers,
                                   task.freshLosses,
                                   task.placedAtMillis,
-                                  task.lastTries,
+                                  task.finalAttempts,
                                   task.worker.born);
 }
 
@@ -40,7 +40,7 @@
     task.lostWorkers = record.lostWorkers;
     task.freshLosses = record.freshLosses;
     task.placedAtMillis = record.placedAtMillis;
-    task.lastTries = record.lastTries;
+    task.finalAttempts = record.lastTries;
     return task;
 }
 
@@ -77,18 +77,18 @@
         this->jobFailure = {record.failure->reason, TaskKey(*record.failure->task), record.failure->lostWorkers};
     }
     for (std::size_t number = 0; number < record.occurrences.size(); ++number) {
-        for (std::size_t index = 0; index < this->runs[number].steps.size(); ++index) {
-            Step &step = this->runs[number].steps[index];
+        for (std::size_t index = 0; index < this->occurrenceList[number].steps.size(); ++index) {
+            Step &step = this->occurrenceList[number].steps[index];
             const work::StepRecordT &stored = *record.occurrences[number]->steps[index];
             step.gangFailures = stored.gangFailures;
             step.lastFailedRun = stored.lastFailedRun;
             for (const auto &entry : stored.tasks) {
                 step.tasks[entry->index] = unpackTask(*entry);
-                this->anyStarted = this->anyStarted || entry->everStarted;
+                this->hasStartedRun = this->hasStartedRun || entry->everStarted;
             }
         }
     }
-    this->countAnew();
+    this->recount();
 }
 
 work::JobRecordT Job::record() const
@@ -104,9 +104,9 @@
 {
     std::vector<flatbuffers::Offset<work::OccurrenceRecord>> occurrences;
     // Of a job that is over only what its users may ask for is needed.
-    for (std::size_t number = 0; !this->isOver() && number < this->runs.size(); ++number) {
+    for (std::size_t number = 0; !this->isFullyEnded() && number < this->occurrenceList.size(); ++number) {
         std::vector<flatbuffers::Offset<work::StepRecord>> steps;
-        for (const Step &step : this->runs[number].steps) {
+        for (const Step &step : this->occurrenceList[number].steps) {
             steps.push_back(packStep(builder, step));
         }
         occurrences.push_back(work::CreateOccurrenceRecord(builder, builder.CreateVector(steps)));
@@ -116,7 +116,7 @@
     const auto spec = work::JobSpec::Pack(builder, &this->jobSpec);
     const auto stored = builder.CreateVector(occurrences);
     const auto failure = packFailure(builder, this->jobFailure);
-    const auto team = builder.CreateString(this->owner);
+    const auto team = builder.CreateString(this->teamName);
     return work::CreateJobRecord(builder, id, queue, spec, this->jobState, this->cancelled, this->submittedAt, this->endedAt, stored, failure, team);
 }
 
--- a/paddlepier/workload/losses.cpp
+++ b/paddlepier/workload/losses.cpp
@@ -24,9 +24,9 @@
 
 Outcome Workload::removeWorker(const work::RemoveWorkerT &command)
 {
-    const Life life{command.id, command.born};
-    const auto found = this->workerByLife.find(life);
-    if (found == this->workerByLife.end()) {
+    const Incarnation life{command.id, command.born};
+    const auto found = this->workerByIncarnation.find(life);
+    if (found == this->workerByIncarnation.end()) {
         return {};
     }
     Outcome outcome;
@@ -35,27 +35,27 @@
     }
     const std::set<TaskKey> lost = found->second.runs;
     if (command.end != work::LifeEnd::Left) {
-        outcome.givenUp = this->countLosses(found->second, command);
+        outcome.abandonedTasks = this->recordLosses(found->second, command);
     }
-    this->settleLapses(found->second);
+    this->resolveExpiredLeases(found->second);
     for (const TaskKey &key : lost) {
         work::RunEndT end;
         end.task = key.record();
         end.run = this->jobById.at(key.job).task(key).lastRun;
         end.kind = work::RunEndKind::WorkerLost;
         if (this->endRun(life, end)) {
-            outcome.givenUp.push_back(key);
+            outcome.abandonedTasks.push_back(key);
         }
     }
     while (!found->second.superseded.empty()) {
         this->removeSuperseded(found->second, found->second.superseded.begin()->first);
     }
-    this->dropFromIndex(found->second.registration);
-    this->workerByLife.erase(life);
+    this->unindexWorker(found->second.registration);
+    this->workerByIncarnation.erase(life);
     return outcome;
 }
 
-std::vector<TaskKey> Workload::countLosses(const Worker &worker, const work::RemoveWorkerT &command)
+std::vector<TaskKey> Workload::recordLosses(const Worker &worker, const work::RemoveWorkerT &command)
 {
     // Nothing is placed beside a task that has to prove itself, so that one just started is the cause if it's the only suspect.
     const auto isSuspect = [this](const std::unique_ptr<work::RunEndT> &run) {
@@ -68,11 +68,11 @@
         if (job == this->jobById.end()) {
             return;
         }
-        if (job->second.noteLoss(key, lifeOf(worker.registration), isFresh, isOnlySuspect, this->appliedAt)) {
+        if (job->second.recordLoss(key, incarnationOf(worker.registration), isFresh, isOnlySuspect, this->appliedAt)) {
             givenUp.push_back(key);
         }
-        this->noteSuspect(key);
-        this->noteJob(job->second);
+        this->updateSuspect(key);
+        this->updateJobIndexes(job->second);
     };
     for (const auto &run : command.lost) {
         const TaskKey key(*run->task);
@@ -86,21 +86,21 @@
             this->clearLosses(key);
         }
     }
-    for (const TaskKey &key : worker.lapsed) {
+    for (const TaskKey &key : worker.expiredLeases) {
         count(key, false, false);
     }
     return givenUp;
 }
 
-void Workload::noteLapse(Worker &worker, const TaskKey &key, work::RunAtLoss atLoss)
+void Workload::recordExpiredLease(Worker &worker, const TaskKey &key, work::RunAtLoss atLoss)
 {
     if (atLoss == work::RunAtLoss::Settled) {
         this->clearLosses(key);
     }
     const auto job = this->jobById.find(key.job);
-    if (job != this->jobById.end() && isCounted(atLoss) && worker.lapsed.insert(key).second) {
-        job->second.countDoubt(key, 1);
-        this->noteSuspect(key);
+    if (job != this->jobById.end() && isCounted(atLoss) && worker.expiredLeases.insert(key).second) {
+        job->second.adjustUnconfirmedLosses(key, 1);
+        this->updateSuspect(key);
     }
 }
 
@@ -108,24 +108,24 @@
 {
     const auto job = this->jobById.find(key.job);
     if (job != this->jobById.end()) {
-        job->second.forgetLosses(key);
-        this->noteSuspect(key);
+        job->second.clearLosses(key);
+        this->updateSuspect(key);
     }
 }
 
-void Workload::settleLapses(Worker &worker)
+void Workload::resolveExpiredLeases(Worker &worker)
 {
-    for (const TaskKey &key : worker.lapsed) {
+    for (const TaskKey &key : worker.expiredLeases) {
         const auto job = this->jobById.find(key.job);
         if (job != this->jobById.end()) {
-            job->second.countDoubt(key, -1);
-            this->noteSuspect(key);
+            job->second.adjustUnconfirmedLosses(key, -1);
+            this->updateSuspect(key);
         }
     }
-    worker.lapsed.clear();
+    worker.expiredLeases.clear();
 }
 
-void Workload::noteSuspect(const TaskKey &key)
+void Workload::updateSuspect(const TaskKey &key)
 {
     const Job &job = this->jobById.at(key.job);
     const bool isOpen = !job.hasEnded() && job.hasTask(key) && !job.task(key).isDone;
@@ -138,23 +138,23 @@
 
 void Workload::restoreSuspects()
 {
-    for (const auto &[id, worker] : this->workerByLife) {
-        for (const TaskKey &key : worker.lapsed) {
+    for (const auto &[id, worker] : this->workerByIncarnation) {
+        for (const TaskKey &key : worker.expiredLeases) {
             const auto job = this->jobById.find(key.job);
             if (job != this->jobById.end()) {
-                job->second.countDoubt(key, 1);
-                this->noteSuspect(key);
+                job->second.adjustUnconfirmedLosses(key, 1);
+                this->updateSuspect(key);
             }
         }
     }
-    for (const std::string &id : this->active) {
+    for (const std::string &id : this->activeJobIds) {
         const std::vector<Occurrence> &occurrences = this->jobById.at(id).occurrences();
         for (std::uint32_t occurrence = 0; occurrence < occurrences.size(); ++occurrence) {
             for (std::uint32_t step = 0; step < occurrences[occurrence].steps.size(); ++step) {
                 const std::vector<Task> &tasks = occurrences[occurrence].steps[step].tasks;
                 for (std::uint32_t index = 0; index < tasks.size(); ++index) {
                     if (tasks[index].isSuspect()) {
-                        this->noteSuspect({id, occurrence, step, index});
+                        this->updateSuspect({id, occurrence, step, index});
                     }
                 }
             }
