--- a/paddlepier/workload/teams.cpp
+++ b/paddlepier/workload/teams.cpp
@@ -40,24 +40,24 @@
     return *step.demand;
 }
 
-QuotaRoom::QuotaRoom()
-    : QuotaRoom(work::Quota(), work::Quota())
+QuotaHeadroom::QuotaHeadroom()
+    : QuotaHeadroom(work::Quota(), work::Quota())
 {
 }
 
-QuotaRoom::QuotaRoom(const work::Quota &quota, const work::Quota &used)
+QuotaHeadroom::QuotaHeadroom(const work::Quota &quota, const work::Quota &used)
     : milliProcessors(leftOf(quota.milliProcessors(), used.milliProcessors()))
     , memoryMegabytes(leftOf(quota.memoryMegabytes(), used.memoryMegabytes()))
     , accelerators(leftOf(quota.accelerators(), used.accelerators()))
 {
 }
 
-bool QuotaRoom::fits(const work::StepSpecT &step) const
+bool QuotaHeadroom::fits(const work::StepSpecT &step) const
 {
     return this->tasksThatFit(step) > 0;
 }
 
-std::size_t QuotaRoom::tasksThatFit(const work::StepSpecT &step) const
+std::size_t QuotaHeadroom::tasksThatFit(const work::StepSpecT &step) const
 {
     const work::Demand demand = quotaDemandOf(step);
     return std::min({timesIn(this->milliProcessors, demand.milliProcessors()),
@@ -65,7 +65,7 @@
                      timesIn(this->accelerators, demand.accelerators())});
 }
 
-void QuotaRoom::take(const work::StepSpecT &step, std::size_t tasks)
+void QuotaHeadroom::reserve(const work::StepSpecT &step, std::size_t tasks)
 {
     const work::Demand demand = quotaDemandOf(step);
     takeFrom(this->milliProcessors, demand.milliProcessors(), tasks);
@@ -73,7 +73,7 @@
     takeFrom(this->accelerators, demand.accelerators(), tasks);
 }
 
-bool QuotaRoom::isOverdrawn() const
+bool QuotaHeadroom::isExceeded() const
 {
     return this->milliProcessors < 0 || this->memoryMegabytes < 0 || this->accelerators < 0;
 }
@@ -96,42 +96,42 @@
     return found == this->teamByKey.end() ? nullptr : &found->second;
 }
 
-QuotaRoom Teams::roomOf(const std::string &team) const
+QuotaHeadroom Teams::headroomOf(const std::string &team) const
 {
     const auto found = this->quotas.find(team);
-    return found == this->quotas.end() ? QuotaRoom() : QuotaRoom(found->second, this->used(team));
+    return found == this->quotas.end() ? QuotaHeadroom() : QuotaHeadroom(found->second, this->usageOf(team));
 }
 
-work::Quota Teams::used(const std::string &team) const
+work::Quota Teams::usageOf(const std::string &team) const
 {
-    const auto found = this->usedByTeam.find(team);
-    return found == this->usedByTeam.end() ? work::Quota() : found->second;
+    const auto found = this->usageByTeam.find(team);
+    return found == this->usageByTeam.end() ? work::Quota() : found->second;
 }
 
-void Teams::take(const std::string &team, const work::Demand &demand)
+void Teams::reserve(const std::string &team, const work::Demand &demand)
 {
-    this->count(team, demand, 1);
+    this->adjustUsage(team, demand, 1);
 }
 
-void Teams::giveBack(const std::string &team, const work::Demand &demand)
+void Teams::release(const std::string &team, const work::Demand &demand)
 {
-    this->count(team, demand, -1);
+    this->adjustUsage(team, demand, -1);
 }
 
-void Teams::count(const std::string &team, const work::Demand &demand, int sign)
+void Teams::adjustUsage(const std::string &team, const work::Demand &demand, int sign)
 {
     if (team.empty()) {
         return;
     }
     const auto change = static_cast<std::uint64_t>(static_cast<std::int64_t>(sign));
-    const work::Quota before = this->used(team);
+    const work::Quota before = this->usageOf(team);
     const work::Quota after(before.milliProcessors() + change * demand.milliProcessors(),
                             before.memoryMegabytes() + change * demand.memoryMegabytes(),
                             before.accelerators() + change * demand.accelerators());
     if (after.milliProcessors() == 0 && after.memoryMegabytes() == 0 && after.accelerators() == 0) {
-        this->usedByTeam.erase(team);
+        this->usageByTeam.erase(team);
     } else {
-        this->usedByTeam[team] = after;
+        this->usageByTeam[team] = after;
     }
 }
 
--- a/paddlepier/workload/teams.h
+++ b/paddlepier/workload/teams.h
@@ -31,18 +31,18 @@
 work::Demand quotaDemandOf(const work::StepSpecT &step);
 
 /** What is left of a quota; may be overdrawn. */
-class QuotaRoom
+class QuotaHeadroom
 {
 public:
     /** Without a limit. */
-    QuotaRoom();
-    QuotaRoom(const work::Quota &quota, const work::Quota &used);
+    QuotaHeadroom();
+    QuotaHeadroom(const work::Quota &quota, const work::Quota &used);
 
     bool fits(const work::StepSpecT &step) const;
     std::size_t tasksThatFit(const work::StepSpecT &step) const;
-    void take(const work::StepSpecT &step, std::size_t tasks);
+    void reserve(const work::StepSpecT &step, std::size_t tasks);
     /** More is placed than the quota allows. */
-    bool isOverdrawn() const;
+    bool isExceeded() const;
 
 private:
     std::int64_t milliProcessors;
@@ -59,20 +59,20 @@
     /** Name of the team that has @p key; null if none has. */
     const std::string *findByKey(std::string_view key) const;
     /** Without a limit for no team, and for one that the configuration doesn't name. */
-    QuotaRoom roomOf(const std::string &team) const;
+    QuotaHeadroom headroomOf(const std::string &team) const;
     /** What the team's runs take. */
-    work::Quota used(const std::string &team) const;
+    work::Quota usageOf(const std::string &team) const;
 
-    void take(const std::string &team, const work::Demand &demand);
-    void giveBack(const std::string &team, const work::Demand &demand);
+    void reserve(const std::string &team, const work::Demand &demand);
+    void release(const std::string &team, const work::Demand &demand);
 
 private:
-    void count(const std::string &team, const work::Demand &demand, int sign);
+    void adjustUsage(const std::string &team, const work::Demand &demand, int sign);
 
     std::map<std::string, work::Quota> quotas;
     absl::flat_hash_map<std::string, std::string> teamByKey;
     /** Of teams with runs, those included that the configuration names no longer. Invariant: no entry is 0 in all its parts. */
-    std::map<std::string, work::Quota> usedByTeam;
+    std::map<std::string, work::Quota> usageByTeam;
 };
 
 } // namespace paddlepier::workload
--- a/paddlepier/workload/teams_test.cpp
+++ b/paddlepier/workload/teams_test.cpp
@@ -109,7 +109,7 @@
 
     std::uint64_t used(const std::string &team) const
     {
-        return this->state.teams().used(team).milliProcessors();
+        return this->state.teams().usageOf(team).milliProcessors();
     }
 
     Workload state;
@@ -170,9 +170,9 @@
     this->submit("a", "red", 4);
     REQUIRE(this->place("a", 3) == 3);
     this->configure({{"red", {"key-r"}, {2000, 0, 0}}});
-    CHECK(this->state.teams().roomOf("red").isOverdrawn());
+    CHECK(this->state.teams().headroomOf("red").isExceeded());
     this->end("a", 0, work::RunEndKind::Done);
-    CHECK_FALSE(this->state.teams().roomOf("red").isOverdrawn());
+    CHECK_FALSE(this->state.teams().headroomOf("red").isExceeded());
     CHECK(this->place("a", 1, "w1", 3) == 0);
     this->end("a", 1, work::RunEndKind::Done);
     CHECK(this->place("a", 1, "w1", 3) == 1);
@@ -198,9 +198,9 @@
     {
         Workload again;
         again.restore(this->state.snapshot());
-        CHECK(again.teams().used("red").milliProcessors() == this->used("red"));
+        CHECK(again.teams().usageOf("red").milliProcessors() == this->used("red"));
         CHECK(again.findJob("a")->team() == "red");
-        CHECK_FALSE(again.teams().roomOf("red").fits(again.findJob("a")->stepSpec(0)));
+        CHECK_FALSE(again.teams().headroomOf("red").fits(again.findJob("a")->stepSpec(0)));
     }
 }
 
@@ -212,7 +212,7 @@
     CHECK(this->place("a", 2, "w1", 3) == 2);
     CHECK(this->state.teams().findByKey("key-r") == nullptr);
     this->configure({{"red", {"key-r"}, {3000, 0, 0}}});
-    CHECK(this->state.teams().roomOf("red").isOverdrawn());
+    CHECK(this->state.teams().headroomOf("red").isExceeded());
 }
 
 TEST_CASE_METHOD(TeamsFixture, "key_thatMovesToAnotherTeam_speaksForThatOneAlone")
@@ -276,7 +276,7 @@
             } else {
                 Workload again;
                 again.restore(fixture.state.snapshot());
-                RC_ASSERT(again.teams().used("red").milliProcessors() == fixture.used("red"));
+                RC_ASSERT(again.teams().usageOf("red").milliProcessors() == fixture.used("red"));
             }
             const std::map<std::string, std::uint64_t> counted = countedAnew(fixture.state);
             for (const char *team : {"red", "blue"}) {
--- a/paddlepier/workload/worker.cpp
+++ b/paddlepier/workload/worker.cpp
@@ -29,7 +29,7 @@
     return {step.isFilling ? 0 : step.demand->milliProcessors(), step.demand->memoryMegabytes(), step.demand->accelerators()};
 }
 
-bool Worker::hasRoomFor(const work::StepSpecT &step) const
+bool Worker::hasCapacityFor(const work::StepSpecT &step) const
 {
     const work::Demand &demand = *step.demand;
     const work::Demand &capacity = *this->registration.capacity;
@@ -39,7 +39,7 @@
            && this->reservedAccelerators + demand.accelerators() <= capacity.accelerators();
 }
 
-bool Worker::isOverRoom() const
+bool Worker::isOvercommitted() const
 {
     const work::Demand &capacity = *this->registration.capacity;
     return this->reservedMilliProcessors > capacity.milliProcessors() || this->reservedMemoryMegabytes > capacity.memoryMegabytes()
@@ -60,8 +60,8 @@
 void Worker::addRun(const TaskKey &key, const work::StepSpecT &step)
 {
     this->runs.insert(key);
-    this->reserve(demandOf(step), 1);
-    this->countRun(step, 1);
+    this->adjustReservation(demandOf(step), 1);
+    this->adjustRunCounts(step, 1);
 }
 
 bool Worker::removeRun(const TaskKey &key, const work::StepSpecT &step)
@@ -69,25 +69,25 @@
     if (this->runs.erase(key) == 0) {
         return false;
     }
-    this->reserve(demandOf(step), -1);
-    this->countRun(step, -1);
+    this->adjustReservation(demandOf(step), -1);
+    this->adjustRunCounts(step, -1);
     return true;
 }
 
 void Worker::addSuperseded(const TaskKey &key, const SupersededRun &run)
 {
     this->superseded[key] = run;
-    this->reserve(run.demand, 1);
+    this->adjustReservation(run.demand, 1);
 }
 
 void Worker::removeSuperseded(const TaskKey &key)
 {
     const auto found = this->superseded.find(key);
-    this->reserve(found->second.demand, -1);
+    this->adjustReservation(found->second.demand, -1);
     this->superseded.erase(found);
 }
 
-void Worker::reserve(const work::Demand &demand, int sign)
+void Worker::adjustReservation(const work::Demand &demand, int sign)
 {
     const auto change = static_cast<std::uint64_t>(static_cast<std::int64_t>(sign));
     this->reservedMilliProcessors += change * demand.milliProcessors();
@@ -95,7 +95,7 @@
     this->reservedAccelerators += change * demand.accelerators();
 }
 
-void Worker::countRun(const work::StepSpecT &step, int sign)
+void Worker::adjustRunCounts(const work::StepSpecT &step, int sign)
 {
     const auto change = static_cast<std::uint32_t>(sign);
     this->servingRuns += step.targetLatencyMillis > 0 ? change : 0;
--- a/paddlepier/workload/worker.h
+++ b/paddlepier/workload/worker.h
@@ -46,7 +46,7 @@
     /** Invariant: no task is in both `runs` and `superseded`. */
     std::map<TaskKey, SupersededRun> superseded;
     /** Tasks whose run here was given up with its lease, while it isn't known whether the worker is lost or cut off. */
-    std::set<TaskKey> lapsed;
+    std::set<TaskKey> expiredLeases;
     std::uint64_t reservedMilliProcessors = 0;
     std::uint64_t reservedMemoryMegabytes = 0;
     std::uint64_t reservedAccelerators = 0;
@@ -56,9 +56,9 @@
     /** Of `runs`: those whose end costs more than their own work: of lasting steps, and of gangs. */
     std::uint32_t costlyRuns = 0;
 
-    bool hasRoomFor(const work::StepSpecT &step) const;
+    bool hasCapacityFor(const work::StepSpecT &step) const;
     /** It has promised more room than it has: the room has shrunk since. Starts that wait would make that worse. */
-    bool isOverRoom() const;
+    bool isOvercommitted() const;
     std::int64_t freeMilliProcessors() const;
     bool hasLabel(std::string_view label) const;
 
@@ -70,8 +70,8 @@
     void removeSuperseded(const TaskKey &key);
 
 private:
-    void reserve(const work::Demand &demand, int sign);
-    void countRun(const work::StepSpecT &step, int sign);
+    void adjustReservation(const work::Demand &demand, int sign);
+    void adjustRunCounts(const work::StepSpecT &step, int sign);
 };
 
 } // namespace paddlepier::workload
--- a/paddlepier/workload/workers.cpp
+++ b/paddlepier/workload/workers.cpp
@@ -10,19 +10,19 @@
 
 Outcome Workload::registerWorker(const work::RegisterWorkerT &command)
 {
-    const Life life = lifeOf(command);
+    const Incarnation life = incarnationOf(command);
     const Worker *latest = this->findLatestWorker(command.id);
     // Of a life that is over: its worker has started again since.
-    if (latest != nullptr && lifeOf(latest->registration).isAfter(life)) {
+    if (latest != nullptr && incarnationOf(latest->registration).isAfter(life)) {
         return {};
     }
-    Worker &worker = this->workerByLife[life];
+    Worker &worker = this->workerByIncarnation[life];
     // Held up on its way: a later announcement, of a smaller room perhaps, is in force.
     if (command.sequence < worker.registration.sequence) {
         return {};
     }
     const bool wasDraining = worker.registration.isDraining;
-    this->dropFromIndex(worker.registration);
+    this->unindexWorker(worker.registration);
     worker.registration = command;
     worker.registration.isDraining = command.isDraining || wasDraining;
     this->indexWorker(worker.registration);
@@ -31,22 +31,22 @@
 
 void Workload::indexWorker(const work::RegisterWorkerT &registration)
 {
-    this->byAddress[registration.address].insert(lifeOf(registration));
-    this->byMachine[registration.machine].insert(lifeOf(registration));
-    this->changedWorkers.note(lifeOf(registration));
+    this->incarnationsByAddress[registration.address].insert(incarnationOf(registration));
+    this->incarnationsByMachine[registration.machine].insert(incarnationOf(registration));
+    this->workerChangeLog.record(incarnationOf(registration));
 }
 
-void Workload::dropFromIndex(const work::RegisterWorkerT &registration)
+void Workload::unindexWorker(const work::RegisterWorkerT &registration)
 {
-    const auto drop = [life = lifeOf(registration)](auto &index, const std::string &name) {
+    const auto drop = [life = incarnationOf(registration)](auto &index, const std::string &name) {
         const auto found = index.find(name);
         if (found != index.end() && found->second.erase(life) > 0 && found->second.empty()) {
             index.erase(found);
         }
     };
-    drop(this->byAddress, registration.address);
-    drop(this->byMachine, registration.machine);
-    this->changedWorkers.note(lifeOf(registration));
+    drop(this->incarnationsByAddress, registration.address);
+    drop(this->incarnationsByMachine, registration.machine);
+    this->workerChangeLog.record(incarnationOf(registration));
 }
 
 Outcome Workload::changeEvacuation(const work::ChangeEvacuationT &command)
@@ -59,28 +59,28 @@
     } else {
         this->evacuated.erase(command.dataCentre);
     }
-    this->changedWorkers.noteAll();
+    this->workerChangeLog.invalidateAll();
     return {};
 }
 
-const Worker *Workload::findWorker(const Life &life) const
+const Worker *Workload::findWorker(const Incarnation &life) const
 {
-    const auto found = this->workerByLife.find(life);
-    return found == this->workerByLife.end() ? nullptr : &found->second;
+    const auto found = this->workerByIncarnation.find(life);
+    return found == this->workerByIncarnation.end() ? nullptr : &found->second;
 }
 
 const Worker *Workload::findLatestWorker(const std::string &id) const
 {
-    const auto next = this->workerByLife.upper_bound({id, std::numeric_limits<std::uint64_t>::max()});
-    if (next == this->workerByLife.begin() || std::prev(next)->first.id != id) {
+    const auto next = this->workerByIncarnation.upper_bound({id, std::numeric_limits<std::uint64_t>::max()});
+    if (next == this->workerByIncarnation.begin() || std::prev(next)->first.id != id) {
         return nullptr;
     }
     return &std::prev(next)->second;
 }
 
-const std::map<Life, Worker> &Workload::workers() const
+const std::map<Incarnation, Worker> &Workload::workers() const
 {
-    return this->workerByLife;
+    return this->workerByIncarnation;
 }
 
 const std::set<std::string, std::less<>> &Workload::evacuatedDataCentres() const
@@ -93,18 +93,18 @@
     return !this->evacuated.empty() && this->evacuated.contains(worker.registration.zone);
 }
 
-const std::set<Life> &Workload::livesAtAddress(const std::string &address) const
+const std::set<Incarnation> &Workload::incarnationsAtAddress(const std::string &address) const
 {
-    static const std::set<Life> none;
-    const auto found = this->byAddress.find(address);
-    return found == this->byAddress.end() ? none : found->second;
+    static const std::set<Incarnation> none;
+    const auto found = this->incarnationsByAddress.find(address);
+    return found == this->incarnationsByAddress.end() ? none : found->second;
 }
 
-const std::set<Life> &Workload::livesOfMachine(const std::string &machine) const
+const std::set<Incarnation> &Workload::incarnationsOfMachine(const std::string &machine) const
 {
-    static const std::set<Life> none;
-    const auto found = this->byMachine.find(machine);
-    return found == this->byMachine.end() ? none : found->second;
+    static const std::set<Incarnation> none;
+    const auto found = this->incarnationsByMachine.find(machine);
+    return found == this->incarnationsByMachine.end() ? none : found->second;
 }
 
 } // namespace paddlepier::workload
--- a/paddlepier/workload/workload.cpp
+++ b/paddlepier/workload/workload.cpp
@@ -38,7 +38,7 @@
 Outcome Workload::apply(const work::EntryT &entry)
 {
     this->appliedAt = std::max(this->appliedAt, entry.atMillis);
-    this->forgetEndedJobs();
+    this->removeEndedJobs();
     switch (entry.command.type) {
     case work::Command::ChangeConfiguration:
         return this->changeConfiguration(*entry.command.AsChangeConfiguration());
@@ -75,8 +75,8 @@
     // A version that isn't higher is acknowledged and changes nothing.
     if (command.version > this->currentConfiguration.version) {
         this->currentConfiguration = command;
-        this->teamsOfJobs.configure(command);
-        this->changedWorkers.noteAll();
+        this->teamQuotas.configure(command);
+        this->workerChangeLog.invalidateAll();
     }
     return {};
 }
@@ -92,7 +92,7 @@
         return failure(ErrorCode::UnknownRoute, absl::StrCat("no queue ", command.queue));
     }
     const auto added = this->jobById.emplace(command.id, Job(command.id, **queue, *command.spec, this->appliedAt, command.team)).first;
-    this->noteJob(added->second);
+    this->updateJobIndexes(added->second);
     return {};
 }
 
@@ -103,11 +103,11 @@
         return failure(ErrorCode::UnknownJob, absl::StrCat("no job ", command.id));
     }
     found->second.cancel(this->appliedAt);
-    this->noteJob(found->second);
+    this->updateJobIndexes(found->second);
     return {};
 }
 
-std::size_t Workload::groupLength(const std::vector<std::unique_ptr<work::PlacementT>> &placements, std::size_t begin) const
+std::size_t Workload::atomicGroupLength(const std::vector<std::unique_ptr<work::PlacementT>> &placements, std::size_t begin) const
 {
     const TaskKey first(*placements[begin]->task);
     const Job *job = this->findJob(first.job);
@@ -125,9 +125,9 @@
 {
     Outcome outcome;
     for (std::size_t begin = 0; begin < command.placements.size();) {
-        const std::size_t length = this->groupLength(command.placements, begin);
+        const std::size_t length = this->atomicGroupLength(command.placements, begin);
         std::size_t taken = 0;
-        while (taken < length && this->placeOne(*command.placements[begin + taken])) {
+        while (taken < length && this->placeRun(*command.placements[begin + taken])) {
             ++taken;
         }
         for (std::size_t index = begin; index < begin + taken; ++index) {
@@ -142,43 +142,43 @@
     return outcome;
 }
 
-bool Workload::placeOne(const work::PlacementT &placement)
+bool Workload::placeRun(const work::PlacementT &placement)
 {
     const TaskKey key(*placement.task);
     const auto job = this->jobById.find(key.job);
-    const auto worker = this->workerByLife.find(lifeOf(placement));
-    if (job == this->jobById.end() || worker == this->workerByLife.end() || !job->second.mayPlace(key, placement.run)) {
+    const auto worker = this->workerByIncarnation.find(incarnationOf(placement));
+    if (job == this->jobById.end() || worker == this->workerByIncarnation.end() || !job->second.mayPlace(key, placement.run)) {
         return false;
     }
     const work::StepSpecT &step = job->second.stepSpec(key.step);
-    if (!worker->second.hasRoomFor(step) || worker->second.superseded.contains(key) || this->isEvacuated(worker->second)) {
+    if (!worker->second.hasCapacityFor(step) || worker->second.superseded.contains(key) || this->isEvacuated(worker->second)) {
         return false;
     }
-    if (!this->teamsOfJobs.roomOf(job->second.team()).fits(step)) {
+    if (!this->teamQuotas.headroomOf(job->second.team()).fits(step)) {
         return false;
     }
-    this->takeRoom(worker->second, job->second, key);
+    this->reserveCapacity(worker->second, job->second, key);
     job->second.place(key, placement.run, worker->first, this->appliedAt);
-    this->noteWaiting(job->second);
+    this->updateWaitingIndex(job->second);
     return true;
 }
 
-void Workload::takeRoom(Worker &worker, const Job &job, const TaskKey &key)
+void Workload::reserveCapacity(Worker &worker, const Job &job, const TaskKey &key)
 {
     const work::StepSpecT &step = job.stepSpec(key.step);
     worker.addRun(key, step);
-    this->changedWorkers.note(lifeOf(worker.registration));
-    this->teamsOfJobs.take(job.team(), quotaDemandOf(step));
+    this->workerChangeLog.record(incarnationOf(worker.registration));
+    this->teamQuotas.reserve(job.team(), quotaDemandOf(step));
 }
 
-bool Workload::giveRoomBack(Worker &worker, const Job &job, const TaskKey &key)
+bool Workload::releaseCapacity(Worker &worker, const Job &job, const TaskKey &key)
 {
     const work::StepSpecT &step = job.stepSpec(key.step);
     if (!worker.removeRun(key, step)) {
         return false;
     }
-    this->changedWorkers.note(lifeOf(worker.registration));
-    this->teamsOfJobs.giveBack(job.team(), quotaDemandOf(step));
+    this->workerChangeLog.record(incarnationOf(worker.registration));
+    this->teamQuotas.release(job.team(), quotaDemandOf(step));
     return true;
 }
 
@@ -186,19 +186,19 @@
 {
     worker.addSuperseded(key, run);
     ++this->supersededByTask[key];
-    this->changedWorkers.note(lifeOf(worker.registration));
-    this->teamsOfJobs.take(run.team, run.quotaDemand);
+    this->workerChangeLog.record(incarnationOf(worker.registration));
+    this->teamQuotas.reserve(run.team, run.quotaDemand);
 }
 
 void Workload::removeSuperseded(Worker &worker, const TaskKey &key)
 {
     const SupersededRun &run = worker.superseded.at(key);
-    this->teamsOfJobs.giveBack(run.team, run.quotaDemand);
+    this->teamQuotas.release(run.team, run.quotaDemand);
     const auto counted = this->supersededByTask.find(key);
     if (--counted->second == 0) {
         this->supersededByTask.erase(counted);
     }
-    this->changedWorkers.note(lifeOf(worker.registration));
+    this->workerChangeLog.record(incarnationOf(worker.registration));
     worker.removeSuperseded(key);
 }
 
@@ -208,33 +208,33 @@
     end.task = std::make_unique<work::TaskKeyT>(*placement.task);
     end.run = placement.run;
     end.kind = work::RunEndKind::Void;
-    this->endRun(lifeOf(placement), end);
+    this->endRun(incarnationOf(placement), end);
 }
 
 Outcome Workload::recordEnds(const work::RecordEndsT &command)
 {
-    const Life life{command.worker, command.born};
-    const auto worker = this->workerByLife.find(life);
-    if (command.hasAnswered && worker != this->workerByLife.end()) {
-        this->settleLapses(worker->second);
+    const Incarnation life{command.worker, command.born};
+    const auto worker = this->workerByIncarnation.find(life);
+    if (command.hasAnswered && worker != this->workerByIncarnation.end()) {
+        this->resolveExpiredLeases(worker->second);
     }
     Outcome outcome;
     for (const auto &end : command.ends) {
         if (this->endRun(life, *end)) {
-            outcome.givenUp.emplace_back(*end->task);
+            outcome.abandonedTasks.emplace_back(*end->task);
         }
     }
     return outcome;
 }
 
-bool Workload::endRun(const Life &life, const work::RunEndT &end)
+bool Workload::endRun(const Incarnation &life, const work::RunEndT &end)
 {
-    const auto worker = this->workerByLife.find(life);
-    if (worker != this->workerByLife.end()) {
+    const auto worker = this->workerByIncarnation.find(life);
+    if (worker != this->workerByIncarnation.end()) {
         worker->second.lastSequence = std::max(worker->second.lastSequence, end.sequence);
     }
     const TaskKey key(*end.task);
-    if (worker != this->workerByLife.end()) {
+    if (worker != this->workerByIncarnation.end()) {
         this->endSupersededRun(worker->second, key, end);
     }
     const auto job = this->jobById.find(key.job);
@@ -242,34 +242,34 @@
     if (job == this->jobById.end() || !job->second.endRun(key, end.run, life, end.kind, end.checkpoint, this->appliedAt)) {
         return false;
     }
-    if (worker != this->workerByLife.end() && this->giveRoomBack(worker->second, job->second, key)) {
+    if (worker != this->workerByIncarnation.end() && this->releaseCapacity(worker->second, job->second, key)) {
         if (end.kind == work::RunEndKind::Superseded) {
             const work::StepSpecT &step = job->second.stepSpec(key.step);
             this->addSuperseded(worker->second, key, {end.run, demandOf(step), job->second.team(), quotaDemandOf(step)});
         }
         if (end.kind == work::RunEndKind::Expired) {
-            this->noteLapse(worker->second, key, end.atLoss);
+            this->recordExpiredLease(worker->second, key, end.atLoss);
         }
     }
     if (!this->suspectTasks.empty()) {
-        this->noteSuspect(key);
+        this->updateSuspect(key);
     }
-    this->noteJob(job->second);
+    this->updateJobIndexes(job->second);
     return !hadEnded && job->second.failure().reason == work::JobFailureReason::WorkersLost;
 }
 
-void Workload::moveRun(const Life &from, const Life &to, const work::RunEndT &run)
+void Workload::moveRun(const Incarnation &from, const Incarnation &to, const work::RunEndT &run)
 {
     const TaskKey key(*run.task);
-    const auto source = this->workerByLife.find(from);
-    const auto target = this->workerByLife.find(to);
+    const auto source = this->workerByIncarnation.find(from);
+    const auto target = this->workerByIncarnation.find(to);
     const auto job = this->jobById.find(key.job);
-    if (target == this->workerByLife.end() || job == this->jobById.end() || !job->second.moveRun(key, run.run, from, to)) {
+    if (target == this->workerByIncarnation.end() || job == this->jobById.end() || !job->second.moveRun(key, run.run, from, to)) {
         return;
     }
-    this->giveRoomBack(source->second, job->second, key);
+    this->releaseCapacity(source->second, job->second, key);
     // It is there already, whether there is room or not.
-    this->takeRoom(target->second, job->second, key);
+    this->reserveCapacity(target->second, job->second, key);
 }
 
 void Workload::endSupersededRun(Worker &worker, const TaskKey &key, const work::RunEndT &end)
@@ -283,49 +283,49 @@
     if (job != this->jobById.end()) {
         job->second.endSupersededRun(key, end.run, end.kind, this->appliedAt);
         if (end.kind == work::RunEndKind::Expired) {
-            this->noteLapse(worker, key, end.atLoss);
+            this->recordExpiredLease(worker, key, end.atLoss);
         }
-        this->noteJob(job->second);
+        this->updateJobIndexes(job->second);
     }
 }
 
-void Workload::noteWaiting(const Job &job)
+void Workload::updateWaitingIndex(const Job &job)
 {
-    this->changedJobs.note(job.id());
+    this->jobChangeLog.record(job.id());
     if (!job.hasEnded() && job.waitingTasks() > 0) {
-        this->waiting.insert(job.id());
+        this->waitingJobIds.insert(job.id());
     } else {
-        this->waiting.erase(job.id());
+        this->waitingJobIds.erase(job.id());
     }
 }
 
-void Workload::noteJob(Job &job)
+void Workload::updateJobIndexes(Job &job)
 {
-    this->noteWaiting(job);
+    this->updateWaitingIndex(job);
     if (job.hasEnded()) {
         const auto first = this->suspectTasks.lower_bound({job.id(), 0, 0, 0});
         const auto last = std::find_if(first, this->suspectTasks.end(), [&job](const TaskKey &key) { return key.job != job.id(); });
         this->suspectTasks.erase(first, last);
     }
-    if (!job.hasEnded() || job.runsUnderWay() > 0) {
-        this->active.insert(job.id());
+    if (!job.hasEnded() || job.activeRunCount() > 0) {
+        this->activeJobIds.insert(job.id());
         return;
     }
-    if (this->active.erase(job.id()) > 0) {
-        job.dropPayload();
-        this->ended.push_back(job.id());
+    if (this->activeJobIds.erase(job.id()) > 0) {
+        job.releasePayload();
+        this->endedJobIds.push_back(job.id());
     }
 }
 
-void Workload::forgetEndedJobs()
+void Workload::removeEndedJobs()
 {
-    while (!this->ended.empty()) {
-        const auto job = this->jobById.find(this->ended.front());
+    while (!this->endedJobIds.empty()) {
+        const auto job = this->jobById.find(this->endedJobIds.front());
         if (job->second.endedAtMillis() + jobRetentionMillis > this->appliedAt) {
             return;
         }
         this->jobById.erase(job);
-        this->ended.pop_front();
+        this->endedJobIds.pop_front();
     }
 }
 
@@ -358,7 +358,7 @@
 
 const Teams &Workload::teams() const
 {
-    return this->teamsOfJobs;
+    return this->teamQuotas;
 }
 
 const Job *Workload::findJob(const std::string &id) const
@@ -369,12 +369,12 @@
 
 const std::set<std::string> &Workload::activeJobs() const
 {
-    return this->active;
+    return this->activeJobIds;
 }
 
 const std::set<std::string> &Workload::waitingJobs() const
 {
-    return this->waiting;
+    return this->waitingJobIds;
 }
 
 const std::set<TaskKey> &Workload::suspects() const
@@ -382,7 +382,7 @@
     return this->suspectTasks;
 }
 
-std::uint32_t Workload::supersededRuns(const TaskKey &key) const
+std::uint32_t Workload::supersededRunCount(const TaskKey &key) const
 {
     const auto found = this->supersededByTask.find(key);
     return found == this->supersededByTask.end() ? 0 : found->second;
@@ -390,12 +390,12 @@
 
 const ChangeLog<std::string> &Workload::jobChanges() const
 {
-    return this->changedJobs;
+    return this->jobChangeLog;
 }
 
-const ChangeLog<Life> &Workload::workerChanges() const
+const ChangeLog<Incarnation> &Workload::workerChanges() const
 {
-    return this->changedWorkers;
+    return this->workerChangeLog;
 }
 
 std::int64_t Workload::appliedAtMillis() const
--- a/paddlepier/workload/workload.h
+++ b/paddlepier/workload/workload.h
@@ -17,8 +17,8 @@
 #include "paddlepier/base/error.h"
 #include "paddlepier/wire/workload_generated.h"
 #include "paddlepier/workload/changelog.h"
+#include "paddlepier/workload/incarnation.h"
 #include "paddlepier/workload/job.h"
-#include "paddlepier/workload/life.h"
 #include "paddlepier/workload/teams.h"
 #include "paddlepier/workload/worker.h"
 
@@ -45,7 +45,7 @@
     /** Of PlaceRuns: what was taken. */
     std::vector<work::PlacementT> placed;
     /** Of RemoveWorker and RecordEnds: tasks that are given up since worker after worker was lost under them. */
-    std::vector<TaskKey> givenUp;
+    std::vector<TaskKey> abandonedTasks;
 };
 
 class Workload
@@ -68,10 +68,10 @@
     const work::ServiceSpecT *findService(std::string_view name) const;
     const Teams &teams() const;
     const Job *findJob(const std::string &id) const;
-    const Worker *findWorker(const Life &life) const;
+    const Worker *findWorker(const Incarnation &life) const;
     /** The latest life under @p id; null if there is none. O(log workers). */
     const Worker *findLatestWorker(const std::string &id) const;
-    const std::map<Life, Worker> &workers() const;
+    const std::map<Incarnation, Worker> &workers() const;
     /** Jobs with tasks to run or runs under way. */
     const std::set<std::string> &activeJobs() const;
     /** Of these, the ones that haven't ended and have tasks without a run. */
@@ -82,13 +82,13 @@
     const std::set<std::string, std::less<>> &evacuatedDataCentres() const;
     bool isEvacuated(const Worker &worker) const;
     /** Lives that were announced with this address, or for this machine; O(log workers). */
-    const std::set<Life> &livesAtAddress(const std::string &address) const;
-    const std::set<Life> &livesOfMachine(const std::string &machine) const;
+    const std::set<Incarnation> &incarnationsAtAddress(const std::string &address) const;
+    const std::set<Incarnation> &incarnationsOfMachine(const std::string &machine) const;
     /** Superseded runs of the task on all workers; O(log runs). */
-    std::uint32_t supersededRuns(const TaskKey &key) const;
+    std::uint32_t supersededRunCount(const TaskKey &key) const;
     /** Jobs whose tasks, runs or state have changed, and workers whose room or registration has; not part of a snapshot. */
     const ChangeLog<std::string> &jobChanges() const;
-    const ChangeLog<Life> &workerChanges() const;
+    const ChangeLog<Incarnation> &workerChanges() const;
     std::int64_t appliedAtMillis() const;
 
 private:
@@ -102,58 +102,58 @@
     Outcome changeEvacuation(const work::ChangeEvacuationT &command);
 
     /** Length of the group of placements at @p begin that are taken whole or not at all. */
-    std::size_t groupLength(const std::vector<std::unique_ptr<work::PlacementT>> &placements, std::size_t begin) const;
-    bool placeOne(const work::PlacementT &placement);
+    std::size_t atomicGroupLength(const std::vector<std::unique_ptr<work::PlacementT>> &placements, std::size_t begin) const;
+    bool placeRun(const work::PlacementT &placement);
     /** A run takes its room on the worker, and of its team's quota. */
-    void takeRoom(Worker &worker, const Job &job, const TaskKey &key);
+    void reserveCapacity(Worker &worker, const Job &job, const TaskKey &key);
     /** @return false if the worker has no such run */
-    bool giveRoomBack(Worker &worker, const Job &job, const TaskKey &key);
+    bool releaseCapacity(Worker &worker, const Job &job, const TaskKey &key);
     /** Keeps the indexes of addresses and machines true. */
     void indexWorker(const work::RegisterWorkerT &registration);
-    void dropFromIndex(const work::RegisterWorkerT &registration);
+    void unindexWorker(const work::RegisterWorkerT &registration);
     void addSuperseded(Worker &worker, const TaskKey &key, const SupersededRun &run);
     void removeSuperseded(Worker &worker, const TaskKey &key);
     void undoPlacement(const work::PlacementT &placement);
     /** @return whether the task is given up with that */
-    bool endRun(const Life &worker, const work::RunEndT &end);
+    bool endRun(const Incarnation &worker, const work::RunEndT &end);
     /** A start meant for @p from has reached the next life of that worker. */
-    void moveRun(const Life &from, const Life &to, const work::RunEndT &run);
+    void moveRun(const Incarnation &from, const Incarnation &to, const work::RunEndT &run);
     void endSupersededRun(Worker &worker, const TaskKey &key, const work::RunEndT &end);
     /** Counts the loss of a worker for the tasks that it took along. @return those that are given up with that */
-    std::vector<TaskKey> countLosses(const Worker &worker, const work::RemoveWorkerT &command);
+    std::vector<TaskKey> recordLosses(const Worker &worker, const work::RemoveWorkerT &command);
     /** A run was given up with its lease. */
-    void noteLapse(Worker &worker, const TaskKey &key, work::RunAtLoss atLoss);
+    void recordExpiredLease(Worker &worker, const TaskKey &key, work::RunAtLoss atLoss);
     /** The task has shown that it doesn't take workers down. */
     void clearLosses(const TaskKey &key);
     /** It is known now what became of a worker on which runs were given up with their lease. */
-    void settleLapses(Worker &worker);
+    void resolveExpiredLeases(Worker &worker);
     /** Finds the suspects, and what is in doubt of them, in the jobs and workers of a snapshot. */
     void restoreSuspects();
     /** Keeps `suspectTasks` true for one task. */
-    void noteSuspect(const TaskKey &key);
-    void noteJob(Job &job);
-    void noteWaiting(const Job &job);
-    void forgetEndedJobs();
+    void updateSuspect(const TaskKey &key);
+    void updateJobIndexes(Job &job);
+    void updateWaitingIndex(const Job &job);
+    void removeEndedJobs();
 
     work::ChangeConfigurationT currentConfiguration;
     std::map<std::string, Job> jobById;
-    std::map<Life, Worker> workerByLife;
+    std::map<Incarnation, Worker> workerByIncarnation;
     std::set<std::string, std::less<>> evacuated;
     std::int64_t appliedAt = 0;
 
     // Derived, rebuilt by restore():
     /** Counts the runs of all workers and their superseded runs. */
-    Teams teamsOfJobs;
-    std::set<std::string> active;
-    std::set<std::string> waiting;
+    Teams teamQuotas;
+    std::set<std::string> activeJobIds;
+    std::set<std::string> waitingJobIds;
     std::set<TaskKey> suspectTasks;
-    std::map<std::string, std::set<Life>> byAddress;
-    std::map<std::string, std::set<Life>> byMachine;
+    std::map<std::string, std::set<Incarnation>> incarnationsByAddress;
+    std::map<std::string, std::set<Incarnation>> incarnationsByMachine;
     std::map<TaskKey, std::uint32_t> supersededByTask;
-    ChangeLog<std::string> changedJobs;
-    ChangeLog<Life> changedWorkers;
+    ChangeLog<std::string> jobChangeLog;
+    ChangeLog<Incarnation> workerChangeLog;
     /** Ended jobs without runs, in the order in which they came to that. */
-    std::deque<std::string> ended;
+    std::deque<std::string> endedJobIds;
 };
 
 } // namespace paddlepier::workload
--- a/paddlepier/workload/workload_test.cpp
+++ b/paddlepier/workload/workload_test.cpp
@@ -37,7 +37,7 @@
         return applyCommand(this->state, 1000, std::move(table));
     }
 
-    void announce(const Life &life, std::uint64_t sequence, std::uint32_t processors = 4000, const std::string &zone = "")
+    void announce(const Incarnation &life, std::uint64_t sequence, std::uint32_t processors = 4000, const std::string &zone = "")
     {
         work::RegisterWorkerT registration;
         registration.id = life.id;
@@ -48,7 +48,7 @@
         this->apply(std::move(registration));
     }
 
-    void place(std::uint32_t index, const Life &life)
+    void place(std::uint32_t index, const Incarnation &life)
     {
         work::PlaceRunsT command;
         auto &placement = command.placements.emplace_back(std::make_unique<work::PlacementT>());
@@ -59,7 +59,7 @@
         this->apply(std::move(command));
     }
 
-    void end(std::uint32_t index, const Life &life, std::uint64_t sequence)
+    void end(std::uint32_t index, const Incarnation &life, std::uint64_t sequence)
     {
         work::RecordEndsT command;
         command.worker = life.id;
@@ -83,8 +83,8 @@
     }
 
     Workload state;
-    const Life first{"w", 5000};
-    const Life second{"w", 9000};
+    const Incarnation first{"w", 5000};
+    const Incarnation second{"w", 9000};
 };
 
 } // namespace
@@ -164,7 +164,7 @@
     this->place(0, {"w"});
     Workload again;
     again.restore(this->state.snapshot());
-    CHECK(again.findJob("a")->task(key(0)).worker == Life{"w"});
+    CHECK(again.findJob("a")->task(key(0)).worker == Incarnation{"w"});
     this->announce(this->first, 1);
     CHECK(this->state.findLatestWorker("w")->registration.born == this->first.born);
     CHECK(this->first.isAfter({"w"}));
--- a/paddlepier/workload/workloadsnapshot.cpp
+++ b/paddlepier/workload/workloadsnapshot.cpp
@@ -21,7 +21,7 @@
         copies.push_back(work::CreateCopyRecord(builder, task, run.run, &run.demand, team, &run.quotaDemand));
     }
     std::vector<flatbuffers::Offset<work::TaskKey>> lapsed;
-    for (const TaskKey &key : worker.lapsed) {
+    for (const TaskKey &key : worker.expiredLeases) {
         lapsed.push_back(key.pack(builder));
     }
     const auto registration = work::RegisterWorker::Pack(builder, &worker.registration);
@@ -41,8 +41,8 @@
         jobs.push_back(job.pack(builder));
     }
     std::vector<flatbuffers::Offset<work::WorkerRecord>> workers;
-    workers.reserve(this->workerByLife.size());
-    for (const auto &[life, worker] : this->workerByLife) {
+    workers.reserve(this->workerByIncarnation.size());
+    for (const auto &[life, worker] : this->workerByIncarnation) {
         workers.push_back(packWorker(builder, worker));
     }
     const auto configuration = work::ChangeConfiguration::Pack(builder, &this->currentConfiguration);
@@ -57,21 +57,21 @@
 {
     const auto snapshot = wire::unpack<work::SnapshotT>(bytes);
     // Readers' positions go on.
-    ChangeLog<std::string> jobLog = std::move(this->changedJobs);
-    ChangeLog<Life> workerLog = std::move(this->changedWorkers);
+    ChangeLog<std::string> jobLog = std::move(this->jobChangeLog);
+    ChangeLog<Incarnation> workerLog = std::move(this->workerChangeLog);
     *this = Workload();
-    this->changedJobs = std::move(jobLog);
-    this->changedWorkers = std::move(workerLog);
-    this->changedJobs.noteAll();
-    this->changedWorkers.noteAll();
+    this->jobChangeLog = std::move(jobLog);
+    this->workerChangeLog = std::move(workerLog);
+    this->jobChangeLog.invalidateAll();
+    this->workerChangeLog.invalidateAll();
     this->appliedAt = snapshot.atMillis;
     if (snapshot.configuration) {
         this->currentConfiguration = *snapshot.configuration;
-        this->teamsOfJobs.configure(this->currentConfiguration);
+        this->teamQuotas.configure(this->currentConfiguration);
     }
     this->evacuated.insert(snapshot.evacuatedDataCentres.begin(), snapshot.evacuatedDataCentres.end());
     for (const auto &record : snapshot.workers) {
-        Worker &worker = this->workerByLife[lifeOf(*record->registration)];
+        Worker &worker = this->workerByIncarnation[incarnationOf(*record->registration)];
         worker.registration = *record->registration;
         this->indexWorker(worker.registration);
         worker.lastSequence = record->lastSequence;
@@ -79,27 +79,27 @@
             this->addSuperseded(worker, TaskKey(*copy->task), {copy->run, *copy->demand, copy->team, copy->quotaDemand ? *copy->quotaDemand : work::Demand()});
         }
         for (const auto &key : record->lapsed) {
-            worker.lapsed.emplace(*key);
+            worker.expiredLeases.emplace(*key);
         }
     }
     for (const auto &record : snapshot.jobs) {
         Job &job = this->jobById.emplace(record->id, Job(*record)).first->second;
-        this->active.insert(job.id());
-        this->noteJob(job);
+        this->activeJobIds.insert(job.id());
+        this->updateJobIndexes(job);
         for (std::uint32_t occurrence = 0; occurrence < job.occurrences().size(); ++occurrence) {
             for (std::uint32_t step = 0; step < job.occurrences()[occurrence].steps.size(); ++step) {
                 const std::vector<Task> &tasks = job.occurrences()[occurrence].steps[step].tasks;
                 for (std::uint32_t index = 0; index < tasks.size(); ++index) {
-                    const auto worker = this->workerByLife.find(tasks[index].worker);
-                    if (worker != this->workerByLife.end()) {
-                        this->takeRoom(worker->second, job, {job.id(), occurrence, step, index});
+                    const auto worker = this->workerByIncarnation.find(tasks[index].worker);
+                    if (worker != this->workerByIncarnation.end()) {
+                        this->reserveCapacity(worker->second, job, {job.id(), occurrence, step, index});
                     }
                 }
             }
         }
     }
     this->restoreSuspects();
-    std::sort(this->ended.begin(), this->ended.end(), [this](const std::string &left, const std::string &right) {
+    std::sort(this->endedJobIds.begin(), this->endedJobIds.end(), [this](const std::string &left, const std::string &right) {
         return this->jobById.at(left).endedAtMillis() < this->jobById.at(right).endedAtMillis();
     });
 }
--- a/testing/caller.cpp
+++ b/testing/caller.cpp
@@ -20,8 +20,8 @@
 
 void note(const CallerOptions &options, const std::string &target, const http::TransferResult &result, CallerResult &total)
 {
-    std::string outcome(result.answer.header(instance::outcomeHeader));
-    if (!result.whole) {
+    std::string outcome(result.response.header(instance::outcomeHeader));
+    if (!result.isComplete) {
         outcome = "no-answer";
     } else if (outcome.empty()) {
         outcome = "direct";
@@ -29,12 +29,12 @@
     ++total.outcomes[outcome];
     const std::string expected = absl::StartsWith(target, absl::string_view(prefix.data(), prefix.size())) ? target.substr(prefix.size()) : target;
     if (options.checkAnswer && (outcome == "completed" || outcome == "direct")
-        && !absl::StrContains(result.answer.body, absl::StrCat("answer to ", expected, " "))) {
+        && !absl::StrContains(result.response.body, absl::StrCat("answer to ", expected, " "))) {
         ++total.wrongAnswers;
     }
     if (outcome == "not-run") {
-        total.withoutRetryAfter += result.answer.status == 503 && result.answer.header("Retry-After").empty() ? 1 : 0;
-        total.notRunIds.emplace_back(result.answer.header(instance::requestIdHeader));
+        total.withoutRetryAfter += result.response.status == 503 && result.response.header("Retry-After").empty() ? 1 : 0;
+        total.notRunIds.emplace_back(result.response.header(instance::requestIdHeader));
     }
 }
 
--- a/testing/endtoend_test.cpp
+++ b/testing/endtoend_test.cpp
@@ -241,8 +241,8 @@
         REQUIRE(result.count("completed") + result.count("in-progress") + result.count("not-run") == 20);
     }
     REQUIRE(completed > 0);
-    const http::Answer reused =
-        http::fetch({"POST", absl::StrCat("http://", this->cell.httpOf("a1"), "/v1/quick/file?key=78"), key, "other", absl::Seconds(5), true}).answer;
+    const http::Response reused =
+        http::fetch({"POST", absl::StrCat("http://", this->cell.httpOf("a1"), "/v1/quick/file?key=78"), key, "other", absl::Seconds(5), true}).response;
     REQUIRE(reused.status == 409);
     this->requirePromises();
 }
@@ -527,7 +527,7 @@
 {
     this->startDataCentre(1);
     const std::string token = Cell::operatorToken("north");
-    const auto expect = [&](const http::Answer &answer, int status, const std::string &error) {
+    const auto expect = [&](const http::Response &answer, int status, const std::string &error) {
         INFO(answer.body);
         REQUIRE(answer.status == status);
         REQUIRE_THAT(answer.body, Catch::Matchers::Contains(absl::StrCat("\"error\":\"", error, "\"")));
--- a/testing/forwarder.cpp
+++ b/testing/forwarder.cpp
@@ -83,7 +83,7 @@
     const absl::MutexLock lock(&this->mutex);
     this->closeListener();
     this->closeAll(false);
-    for (const int socket : this->silent) {
+    for (const int socket : this->silenced) {
         closeAsReset(socket);
     }
 }
@@ -104,21 +104,21 @@
     this->delay = time;
 }
 
-void Forwarder::setLost(Way way, bool isLost)
+void Forwarder::setLost(Direction way, bool isLost)
 {
     const absl::MutexLock lock(&this->mutex);
-    this->lost[way] = isLost;
+    this->lossByDirection[way] = isLost;
     for (const auto &[socket, state] : this->sockets) {
         this->applyLoss(socket, state.isIncoming);
     }
     if (this->listener >= 0) {
-        setDeaf(this->listener, this->lost[Way::ToTarget] || this->lost[Way::FromTarget]);
+        setDeaf(this->listener, this->lossByDirection[Direction::ToTarget] || this->lossByDirection[Direction::FromTarget]);
     }
 }
 
 void Forwarder::applyLoss(int socket, bool isIncoming)
 {
-    setDeaf(socket, this->lost[isIncoming ? Way::ToTarget : Way::FromTarget]);
+    setDeaf(socket, this->lossByDirection[isIncoming ? Direction::ToTarget : Direction::FromTarget]);
 }
 
 void Forwarder::resetAll()
@@ -132,7 +132,7 @@
     const absl::MutexLock lock(&this->mutex);
     for (const auto &[socket, state] : this->sockets) {
         setDeaf(socket, true);
-        this->silent.push_back(socket);
+        this->silenced.push_back(socket);
     }
     this->sockets.clear();
 }
@@ -151,7 +151,7 @@
     if (::bind(this->listener, reinterpret_cast<const sockaddr *>(&address), sizeof(address)) != 0 || ::listen(this->listener, SOMAXCONN) != 0) {
         throw InternalError("the forwarder can't listen");
     }
-    setDeaf(this->listener, this->lost[Way::ToTarget] || this->lost[Way::FromTarget]);
+    setDeaf(this->listener, this->lossByDirection[Direction::ToTarget] || this->lossByDirection[Direction::FromTarget]);
 }
 
 void Forwarder::closeListener()
--- a/testing/forwarder.h
+++ b/testing/forwarder.h
@@ -36,7 +36,7 @@
 };
 
 /** Direction of bytes, seen from who opened the connection. */
-enum class Way { ToTarget, FromTarget };
+enum class Direction { ToTarget, FromTarget };
 
 class Forwarder
 {
@@ -56,7 +56,7 @@
     /** Holds up what arrives from now on, in both directions. */
     void setDelay(Duration time);
     /** Loses what goes one way, and what would open a connection, until it's taken back; TCP then sends it again. */
-    void setLost(Way way, bool isLost);
+    void setLost(Direction way, bool isLost);
     /** Resets what is open. */
     void resetAll();
     /** Connections that are open now never carry anything again, and aren't closed; new ones work. */
@@ -95,8 +95,8 @@
     absl::Mutex mutex;
     int listener ABSL_GUARDED_BY(mutex) = -1;
     std::map<int, Socket> sockets ABSL_GUARDED_BY(mutex);
-    std::vector<int> silent ABSL_GUARDED_BY(mutex);
-    std::map<Way, bool> lost ABSL_GUARDED_BY(mutex);
+    std::vector<int> silenced ABSL_GUARDED_BY(mutex);
+    std::map<Direction, bool> lossByDirection ABSL_GUARDED_BY(mutex);
     Duration delay ABSL_GUARDED_BY(mutex) = absl::ZeroDuration();
     std::atomic<bool> cut{false};
     std::atomic<bool> targetRunning{false};
--- a/testing/forwarder_test.cpp
+++ b/testing/forwarder_test.cpp
@@ -143,7 +143,7 @@
 
 TEST_CASE_METHOD(ForwarderFixture, "forwarder_lostOneWay_carriesNothingUntilItIsHealed")
 {
-    for (const Way way : {Way::ToTarget, Way::FromTarget}) {
+    for (const Direction way : {Direction::ToTarget, Direction::FromTarget}) {
         const int before = this->connect();
         REQUIRE(answers(before, absl::Seconds(5)));
         this->link().setLost(way, true);
--- a/testing/harness.cpp
+++ b/testing/harness.cpp
@@ -251,7 +251,7 @@
 {
     const std::vector<std::string> words{this->programFolder + "/paddlepier", "serve", "--config", this->settingsPath(id)};
     this->processes[id] = std::make_unique<Process>(words, this->outputPath(id));
-    this->noteRunning(id, true);
+    this->setRunning(id, true);
 }
 
 void Cell::startAll()
@@ -295,7 +295,7 @@
     this->logs.push_back({spec.name, spec.dataCentre, logPath, spec.capacity, 8});
 }
 
-void Cell::noteRunning(const std::string &id, bool isRunning)
+void Cell::setRunning(const std::string &id, bool isRunning)
 {
     for (Link &link : this->links) {
         if (link.to == id) {
@@ -307,7 +307,7 @@
 
 void Cell::killEntry(const std::string &id)
 {
-    this->noteRunning(id, false);
+    this->setRunning(id, false);
     this->processes.erase(id);
 }
 
@@ -349,7 +349,7 @@
     return list;
 }
 
-http::Answer Cell::post(const std::string &id, const std::string &path, const std::string &body, const std::string &token, const std::string &type) const
+http::Response Cell::post(const std::string &id, const std::string &path, const std::string &body, const std::string &token, const std::string &type) const
 {
     http::OutgoingRequest request;
     request.url = absl::StrCat("http://", this->httpOf(id), path);
@@ -358,13 +358,13 @@
         request.headers.emplace_back("Authorization", absl::StrCat("Bearer ", token));
     }
     request.body = body;
-    return http::fetch(request).answer;
+    return http::fetch(request).response;
 }
 
 std::string Cell::callBytes(const std::string &id, rpc::Method method, const std::string &request, const std::string &token) const
 {
     const std::string path = absl::StrCat("/v1/", rpc::CallCatalog::instance().info(method).name);
-    const http::Answer answer = this->post(id, path, request, token, "application/x-flatbuffers");
+    const http::Response answer = this->post(id, path, request, token, "application/x-flatbuffers");
     if (answer.status != 200) {
         if (answer.status == 0) {
             throw DataCentreUnreachableError("no answer");
--- a/testing/harness.h
+++ b/testing/harness.h
@@ -106,7 +106,7 @@
     pid_t pidOf(const std::string &id) const;
 
     /** A raw call; the answer's status is 0 if none came. */
-    http::Answer
+    http::Response
     post(const std::string &id, const std::string &path, const std::string &body, const std::string &token, const std::string &type = "application/json") const;
 
     /** A call with the operator's token of @p partner. @throws Error as answered */
@@ -144,7 +144,7 @@
     const std::string extra;
     std::string temporary;
     std::map<std::string, std::pair<std::uint16_t, std::uint16_t>> ports;
-    void noteRunning(const std::string &id, bool isRunning);
+    void setRunning(const std::string &id, bool isRunning);
 
     struct Link {
         std::string from;
--- a/testing/knownred.cpp
+++ b/testing/knownred.cpp
@@ -20,7 +20,7 @@
         }
         found.push_back({line.substr(0, end), line});
     }
-    if (found.size() > mostKnownRed) {
+    if (found.size() > maxKnownRed) {
         throw std::runtime_error("KNOWN-RED.txt: more than three lines");
     }
     return found;
--- a/testing/knownred.h
+++ b/testing/knownred.h
@@ -22,7 +22,7 @@
 };
 
 /** More are a reason to stop and mend. */
-constexpr std::size_t mostKnownRed = 3;
+constexpr std::size_t maxKnownRed = 3;
 
 /** @throws std::runtime_error if a line has no test or no cause, or if there are more than mostKnownRed */
 std::vector<KnownRed> readKnownRed(std::istream &lines);
--- a/testing/measure.cpp
+++ b/testing/measure.cpp
@@ -84,7 +84,7 @@
         http::OutgoingRequest request;
         request.method = "GET";
         request.url = absl::StrCat("http://", this->cell.httpOf(id), "/metrics");
-        std::istringstream lines(http::fetch(request).answer.body);
+        std::istringstream lines(http::fetch(request).response.body);
         std::string line;
         while (std::getline(lines, line)) {
             if (line.compare(0, name.size() + 1, name + " ") == 0) {
--- a/testing/platformworkers.cpp
+++ b/testing/platformworkers.cpp
@@ -42,14 +42,14 @@
 
 constexpr const char *lifeHeader = "Paddlepier-Expected-Instance";
 
-execution::WorkerCall decode(const workload::Life &life, const http::Request &request)
+execution::WorkerCall decode(const workload::Incarnation &life, const http::Request &request)
 {
     const Json body = Json::parse(request.body);
     execution::WorkerCall call;
     call.worker = life;
     call.fence = body.value("fencing_token", std::uint64_t{0});
     call.leaseEndOnWorkerClock = body.value("deadline_ms", std::int64_t{0});
-    const workload::TaskKey task = body.contains("task") ? platform::parseTask(body["task"]) : workload::TaskKey();
+    const workload::TaskKey task = body.contains("task") ? platform::parseTaskKey(body["task"]) : workload::TaskKey();
     if (request.path == "/api/run-start") {
         call.order = execution::StartOrder{task, body["run"], body.value("task_spec", ""), "", ""};
     } else if (request.path == "/api/run-stop") {
@@ -94,11 +94,11 @@
 void write(http::Exchange &exchange, const execution::WorkerAnswer &answer)
 {
     if (answer.kind == execution::AnswerKind::OtherLife) {
-        exchange.answer({421, {}, ""});
+        exchange.respond({421, {}, ""});
         return;
     }
     const int status = answer.kind == execution::AnswerKind::Accepted ? 200 : 409;
-    exchange.answer({status, {{"Content-Type", "application/json"}}, bodyOf(answer)});
+    exchange.respond({status, {{"Content-Type", "application/json"}}, bodyOf(answer)});
 }
 
 } // namespace
@@ -119,7 +119,7 @@
     {
         const absl::MutexLock lock(&this->mutex);
         for (const Received &received : this->held) {
-            write(*received.exchange, this->carryOut(received));
+            write(*received.exchange, this->execute(received));
         }
         for (auto &[name, seat] : this->seats) {
             servers.push_back(std::move(seat.server));
@@ -152,17 +152,17 @@
 {
     LimitSettings limits;
     limits.trafficThreads = 1;
-    ++seat.lives;
+    ++seat.incarnations;
     if (seat.keepsId) {
-        seat.life = {absl::StrCat("i-", name), static_cast<std::uint64_t>(wallMicros() / 1000)};
-        this->workers.restart(controlNow(), seat.life.id);
-        this->workers.workers[seat.life.id].born = seat.life.born;
+        seat.incarnation = {absl::StrCat("i-", name), static_cast<std::uint64_t>(wallMicros() / 1000)};
+        this->workers.restart(controlNow(), seat.incarnation.id);
+        this->workers.workers[seat.incarnation.id].born = seat.incarnation.born;
     } else {
-        seat.life = {absl::StrCat("i-", name, "-", seat.lives)};
+        seat.incarnation = {absl::StrCat("i-", name, "-", seat.incarnations)};
     }
     seat.sequence = 0;
-    seat.milliProcessors = wholeRoom;
-    this->workers.workers[seat.life.id].capacity = wholeRoom;
+    seat.milliProcessors = fullCapacity;
+    this->workers.workers[seat.incarnation.id].capacity = fullCapacity;
     seat.isDraining = false;
     seat.leavesAt = absl::InfiniteFuture();
     seat.nextHeartbeat = absl::InfinitePast();
@@ -172,7 +172,7 @@
 
 std::unique_ptr<http::HttpServer> PlatformWorkers::end(Seat &seat)
 {
-    this->workers.crash(seat.life.id);
+    this->workers.crash(seat.incarnation.id);
     return std::move(seat.server);
 }
 
@@ -186,8 +186,9 @@
         return;
     }
     if (heartbeatLag) {
-        this->later(
-            *heartbeatLag, *heartbeatLag, [this, seat, life = place.life, body = this->announcementOf(place)] { this->send("PUT", seat, life, body, 1); });
+        this->later(*heartbeatLag, *heartbeatLag, [this, seat, life = place.incarnation, body = this->announcementOf(place)] {
+            this->send("PUT", seat, life, body, 1);
+        });
     }
     server = this->end(place);
 }
@@ -209,21 +210,21 @@
     this->seats.at(seat).trouble = trouble;
 }
 
-void PlatformWorkers::setRoom(const std::string &name, std::uint32_t milliProcessors)
+void PlatformWorkers::setCapacity(const std::string &name, std::uint32_t milliProcessors)
 {
     const absl::MutexLock lock(&this->mutex);
     Seat &seat = this->seats.at(name);
     seat.milliProcessors = milliProcessors;
-    const std::uint32_t change = ++seat.roomChanges;
-    std::uint32_t &counted = this->workers.workers[seat.life.id].capacity;
+    const std::uint32_t change = ++seat.capacityChanges;
+    std::uint32_t &counted = this->workers.workers[seat.incarnation.id].capacity;
     if (milliProcessors >= counted) {
         counted = milliProcessors;
         return;
     }
-    this->later(shrinkingCountsAfter, shrinkingCountsAfter, [this, name, life = seat.life, change, milliProcessors] {
+    this->later(shrinkingCountsAfter, shrinkingCountsAfter, [this, name, life = seat.incarnation, change, milliProcessors] {
         this->mutex.AssertHeld();
         // A room that grew and shrank again meanwhile counts from its last announcement.
-        if (this->seats.at(name).life == life && this->seats.at(name).roomChanges == change) {
+        if (this->seats.at(name).incarnation == life && this->seats.at(name).capacityChanges == change) {
             this->workers.workers[life.id].capacity = milliProcessors;
         }
     });
@@ -241,10 +242,10 @@
     action(this->workers);
 }
 
-std::vector<std::string> PlatformWorkers::problems()
+std::vector<std::string> PlatformWorkers::violations()
 {
     const absl::MutexLock lock(&this->mutex);
-    return this->workers.problems;
+    return this->workers.violations;
 }
 
 void PlatformWorkers::receive(const std::string &name, const std::shared_ptr<http::Exchange> &exchange)
@@ -253,11 +254,11 @@
     const Seat &seat = this->seats.at(name);
     const std::string_view meant = exchange->request().header(lifeHeader);
     // Nothing may wait at a server that is being stopped.
-    if (!seat.server || (!meant.empty() && meant != seat.life.id)) {
-        exchange->answer({421, {}, ""});
+    if (!seat.server || (!meant.empty() && meant != seat.incarnation.id)) {
+        exchange->respond({421, {}, ""});
         return;
     }
-    const Received received{seat.life, decode(seat.life, exchange->request()), exchange};
+    const Received received{seat.incarnation, decode(seat.incarnation, exchange->request()), exchange};
     if (seat.trouble == WorkerTrouble::None) {
         this->handle(received);
     } else {
@@ -265,21 +266,21 @@
     }
 }
 
-execution::WorkerAnswer PlatformWorkers::carryOut(const Received &received)
+execution::WorkerAnswer PlatformWorkers::execute(const Received &received)
 {
-    if (this->workers.workers[received.life.id].born != received.life.born) {
+    if (this->workers.workers[received.incarnation.id].born != received.incarnation.born) {
         execution::WorkerAnswer answer;
         answer.kind = execution::AnswerKind::OtherLife;
         return answer;
     }
-    return this->workers.carryOut(controlNow(), received.call);
+    return this->workers.execute(controlNow(), received.call);
 }
 
 void PlatformWorkers::handle(const Received &received)
 {
     const Timestamp now = controlNow();
     this->workers.advance(now);
-    const execution::WorkerAnswer answer = this->carryOut(received);
+    const execution::WorkerAnswer answer = this->execute(received);
     const auto *poll = std::get_if<execution::PollOrder>(&received.call.order);
     if (poll != nullptr && answer.ended.empty() && answer.kind == execution::AnswerKind::Accepted) {
         this->held.push_back(received);
@@ -294,12 +295,12 @@
     if (trouble == WorkerTrouble::OrdersLate) {
         this->later(absl::ZeroDuration(), absl::Seconds(3), [this, received] {
             this->mutex.AssertHeld();
-            write(*received.exchange, this->carryOut(received));
+            write(*received.exchange, this->execute(received));
         });
         return;
     }
     this->workers.advance(controlNow());
-    const execution::WorkerAnswer answer = this->carryOut(received);
+    const execution::WorkerAnswer answer = this->execute(received);
     const bool isLost = trouble == WorkerTrouble::LosesAnswers;
     this->later(
         isLost ? lostFor : absl::Milliseconds(50), isLost ? lostFor : absl::Milliseconds(1500), [received, answer] { write(*received.exchange, answer); });
@@ -314,12 +315,12 @@
 void PlatformWorkers::run()
 {
     while (!this->stopping) {
-        this->doWhatIsDue();
+        this->runDueActions();
         this->pool.run(absl::Milliseconds(20));
     }
 }
 
-void PlatformWorkers::doWhatIsDue()
+void PlatformWorkers::runDueActions()
 {
     std::vector<std::unique_ptr<http::HttpServer>> ended;
     const absl::MutexLock lock(&this->mutex);
@@ -334,7 +335,7 @@
     this->announceDue();
     for (auto &[name, seat] : this->seats) {
         if (seat.server && seat.leavesAt <= controlNow()) {
-            this->send("DELETE", name, seat.life, seat.keepsId ? Json{{"born", seat.life.born}}.dump() : "", heartbeatTries);
+            this->send("DELETE", name, seat.incarnation, seat.keepsId ? Json{{"born", seat.incarnation.born}}.dump() : "", heartbeatTries);
             ended.push_back(this->end(seat));
         }
     }
@@ -343,7 +344,7 @@
 void PlatformWorkers::endCrashed(std::vector<std::unique_ptr<http::HttpServer>> &ended)
 {
     for (auto &[name, seat] : this->seats) {
-        if (!seat.server || !this->workers.workers[seat.life.id].isOver) {
+        if (!seat.server || !this->workers.workers[seat.incarnation.id].hasEnded) {
             continue;
         }
         ended.push_back(std::move(seat.server));
@@ -360,9 +361,9 @@
 {
     const std::vector<Received> waiting = std::exchange(this->held, {});
     for (const Received &received : waiting) {
-        const execution::FakeWorkers::Worker &worker = this->workers.workers[received.life.id];
-        if (worker.isOver || worker.born != received.life.born || !worker.ended.empty() || received.due <= controlNow()) {
-            write(*received.exchange, this->carryOut(received));
+        const execution::FakeWorkers::Worker &worker = this->workers.workers[received.incarnation.id];
+        if (worker.hasEnded || worker.born != received.incarnation.born || !worker.ended.empty() || received.due <= controlNow()) {
+            write(*received.exchange, this->execute(received));
         } else {
             this->held.push_back(received);
         }
@@ -375,7 +376,7 @@
     for (auto &[name, seat] : this->seats) {
         if (seat.server && seat.nextHeartbeat <= now) {
             seat.nextHeartbeat = now + heartbeatInterval;
-            this->send("PUT", name, seat.life, this->announcementOf(seat), heartbeatTries);
+            this->send("PUT", name, seat.incarnation, this->announcementOf(seat), heartbeatTries);
         }
     }
 }
@@ -391,10 +392,10 @@
               {"cold_remaining_ms", 0},
               {"capacity", {{"cpu", seat.milliProcessors}, {"requested_memory_mb", 100'000}}},
               {"labels", {"a", "r1"}},
-              {"clock_ms", execution::FakeWorkers::clock(this->workers.workers[seat.life.id], controlNow())},
+              {"clock_ms", execution::FakeWorkers::clock(this->workers.workers[seat.incarnation.id], controlNow())},
               {"sequence", ++seat.sequence}};
     if (seat.keepsId) {
-        body["born"] = seat.life.born;
+        body["born"] = seat.incarnation.born;
     }
     if (seat.isDraining) {
         body["drain_remaining_ms"] = absl::ToInt64Milliseconds(drainTime);
@@ -402,7 +403,7 @@
     return body.dump();
 }
 
-void PlatformWorkers::send(const std::string &method, const std::string &name, const workload::Life &life, const std::string &body, int tries)
+void PlatformWorkers::send(const std::string &method, const std::string &name, const workload::Incarnation &life, const std::string &body, int tries)
 {
     http::OutgoingRequest request;
     request.method = method;
@@ -410,13 +411,13 @@
     request.body = body;
     request.timeout = heartbeatPatience;
     this->pool.start(request, [this, method, name, life, body, tries](const http::TransferResult &result) {
-        const bool isDone = result.whole && result.answer.status == 200;
+        const bool isDone = result.isComplete && result.response.status == 200;
         if (!isDone && tries > 1 && !this->stopping) {
             this->send(method, name, life, body, tries - 1);
         }
         const absl::MutexLock lock(&this->mutex);
         Seat &seat = this->seats.at(name);
-        if (isDone && seat.life == life && seat.isDraining && body.find("draining") != std::string::npos) {
+        if (isDone && seat.incarnation == life && seat.isDraining && body.find("draining") != std::string::npos) {
             seat.leavesAt = std::min(seat.leavesAt, controlNow() + drainTime + absl::Milliseconds(300));
         }
     });
--- a/testing/platformworkers.h
+++ b/testing/platformworkers.h
@@ -64,27 +64,27 @@
     void drain(const std::string &seat);
     void setTrouble(const std::string &seat, WorkerTrouble trouble);
     /** Announces another room from now on; starts are held to a smaller one once leaders must have heard of it. */
-    void setRoom(const std::string &seat, std::uint32_t milliProcessors);
+    void setCapacity(const std::string &seat, std::uint32_t milliProcessors);
     bool isUp(const std::string &seat);
 
     /** Does something with the state of all workers. */
     void inspect(const std::function<void(execution::FakeWorkers &)> &action);
-    std::vector<std::string> problems();
+    std::vector<std::string> violations();
 
-    static constexpr std::uint32_t wholeRoom = 4000;
+    static constexpr std::uint32_t fullCapacity = 4000;
 
 private:
     struct Seat {
         Endpoint address;
         bool keepsId = false;
-        workload::Life life;
-        std::uint32_t lives = 0;
+        workload::Incarnation incarnation;
+        std::uint32_t incarnations = 0;
         std::uint64_t sequence = 0;
         WorkerTrouble trouble = WorkerTrouble::None;
         /** As it announces it; each life begins with the whole of it. */
-        std::uint32_t milliProcessors = wholeRoom;
+        std::uint32_t milliProcessors = fullCapacity;
         /** How often it has announced another room. */
-        std::uint32_t roomChanges = 0;
+        std::uint32_t capacityChanges = 0;
         Timestamp nextHeartbeat = absl::InfinitePast();
         bool isDraining = false;
         Timestamp leavesAt = absl::InfiniteFuture();
@@ -92,7 +92,7 @@
     };
 
     struct Received {
-        workload::Life life;
+        workload::Incarnation incarnation;
         execution::WorkerCall call;
         std::shared_ptr<http::Exchange> exchange;
         /** Of a poll: until when it waits for an end. */
@@ -100,7 +100,7 @@
     };
 
     /** An order that comes to be carried out later finds its life over; nothing of it reaches the next one. */
-    execution::WorkerAnswer carryOut(const Received &received) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+    execution::WorkerAnswer execute(const Received &received) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     void begin(Seat &seat, const std::string &name) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     std::unique_ptr<http::HttpServer> end(Seat &seat) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     void receive(const std::string &name, const std::shared_ptr<http::Exchange> &exchange);
@@ -108,13 +108,13 @@
     void handleInTrouble(WorkerTrouble trouble, const Received &received) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     void later(Duration least, Duration most, std::function<void()> action) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     void run();
-    void doWhatIsDue();
+    void runDueActions();
     /** Lives that a task has taken down; another one begins at the seat some time later. */
     void endCrashed(std::vector<std::unique_ptr<http::HttpServer>> &ended) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     void answerHeld() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     void announceDue() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     std::string announcementOf(Seat &seat) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-    void send(const std::string &method, const std::string &name, const workload::Life &life, const std::string &body, int tries);
+    void send(const std::string &method, const std::string &name, const workload::Incarnation &life, const std::string &body, int tries);
 
     const std::function<std::string()> control;
     absl::Mutex mutex;
--- a/testing/soak/cell.cpp
+++ b/testing/soak/cell.cpp
@@ -59,9 +59,9 @@
         [this](const workload::TaskKey &task) -> const work::StepSpecT & { return this->checker.stepOf(task); },
         seed);
     this->workers->inspect([this](execution::FakeWorkers &fake) {
-        fake.observe = [this](const Checker::Event &event) { this->checker.observed(event, controlNow()); };
-        fake.crashes = [this](const workload::TaskKey &task, std::uint32_t) { return this->checker.payloadOf(task.job) == crashingPayload; };
-        fake.fails = [this](const workload::TaskKey &task, std::uint32_t run) { return fails(this->checker.payloadOf(task.job), task, run); };
+        fake.observer = [this](const Checker::Event &event) { this->checker.observed(event, controlNow()); };
+        fake.isCrashing = [this](const workload::TaskKey &task, std::uint32_t) { return this->checker.payloadOf(task.job) == crashingPayload; };
+        fake.isFailing = [this](const workload::TaskKey &task, std::uint32_t run) { return fails(this->checker.payloadOf(task.job), task, run); };
     });
     for (std::uint32_t worker = 0; worker < this->sizes.workers; ++worker) {
         // Every other one starts again under the id that it had.
@@ -274,7 +274,7 @@
         } else if (fault.kind == FaultKind::CutLinks) {
             // What the target sends is lost, or what is sent to it.
             const bool losesOwn = fault.part % 2 == 0;
-            link.forwarder->setLost(isOutgoing == losesOwn ? Way::ToTarget : Way::FromTarget, !isOver);
+            link.forwarder->setLost(isOutgoing == losesOwn ? Direction::ToTarget : Direction::FromTarget, !isOver);
         } else if (!isOver) {
             fault.kind == FaultKind::SilenceLinks ? link.forwarder->silenceAll() : link.forwarder->resetAll();
         }
@@ -295,8 +295,8 @@
 {
     const std::string host = workerHost(fault.target);
     if (fault.kind == FaultKind::ShrinkRoom) {
-        const std::uint32_t whole = PlatformWorkers::wholeRoom;
-        this->workers->setRoom(host, isOver ? whole : fault.part * whole / mostPart);
+        const std::uint32_t whole = PlatformWorkers::fullCapacity;
+        this->workers->setCapacity(host, isOver ? whole : fault.part * whole / maxPart);
         return;
     }
     if (fault.kind == FaultKind::CrashWorker || fault.kind == FaultKind::DrainWorker) {
@@ -325,12 +325,12 @@
     }
     for (const Link &link : this->links) {
         link.forwarder->setDelay(absl::ZeroDuration());
-        link.forwarder->setLost(Way::ToTarget, false);
-        link.forwarder->setLost(Way::FromTarget, false);
+        link.forwarder->setLost(Direction::ToTarget, false);
+        link.forwarder->setLost(Direction::FromTarget, false);
     }
     for (std::uint32_t worker = 0; worker < this->sizes.workers; ++worker) {
         this->workers->setTrouble(workerHost(worker), WorkerTrouble::None);
-        this->workers->setRoom(workerHost(worker), PlatformWorkers::wholeRoom);
+        this->workers->setCapacity(workerHost(worker), PlatformWorkers::fullCapacity);
         this->setWorkerLinks(workerHost(worker), true);
         this->workers->revive(workerHost(worker));
     }
@@ -354,7 +354,7 @@
 
 std::vector<std::string> Cell::problems()
 {
-    return this->workers->problems();
+    return this->workers->violations();
 }
 
 } // namespace paddlepier::testing::soak
--- a/testing/soak/checker.cpp
+++ b/testing/soak/checker.cpp
@@ -151,7 +151,7 @@
     for (const auto &[key, task] : job.tasks) {
         std::set<std::uint32_t> runs;
         const auto isLoss = [](const End &end) { return end.kind == work::RunEndKind::WorkerLost; };
-        if (static_cast<std::size_t>(std::count_if(task.ends.begin(), task.ends.end(), isLoss)) >= lossesToGiveUp) {
+        if (static_cast<std::size_t>(std::count_if(task.ends.begin(), task.ends.end(), isLoss)) >= minLossesToAbandon) {
             return true;
         }
         for (const End &end : task.ends) {
@@ -161,7 +161,7 @@
         }
         std::set<std::uint32_t> &ofStep = gangs[key.step];
         ofStep.insert(runs.begin(), runs.end());
-        if (runs.size() >= attemptsOfATask || (job.spec.steps[key.step]->isGang && ofStep.size() >= attemptsOfATask)) {
+        if (runs.size() >= attemptsPerTask || (job.spec.steps[key.step]->isGang && ofStep.size() >= attemptsPerTask)) {
             return true;
         }
     }
@@ -194,7 +194,7 @@
         task.ends.push_back({now, event.end, event.run, false});
         task.running.erase({event.worker, event.run});
         break;
-    case EventKind::Noted:
+    case EventKind::Acknowledged:
         for (End &end : task.ends) {
             end.isNoted = end.isNoted || (end.run == event.run && end.kind == event.end);
         }
@@ -228,7 +228,7 @@
         if (isDone && !isLasting) {
             this->add(absl::StrCat("TWICE: ", key.text(), " has started after its end as done, which was taken note of"));
         }
-        if (failed >= attemptsOfATask && !isLasting) {
+        if (failed >= attemptsPerTask && !isLasting) {
             this->add(absl::StrCat("BUDGET: ", key.text(), " has started after ", failed, " failed runs"));
         }
     }
--- a/testing/soak/checker.h
+++ b/testing/soak/checker.h
@@ -23,13 +23,13 @@
 {
 
 /** `max_attempts` of every queue of the soak. */
-constexpr std::uint32_t attemptsOfATask = 3;
+constexpr std::uint32_t attemptsPerTask = 3;
 
 /** Payload of jobs whose tasks take their workers down. */
 constexpr const char *crashingPayload = "crashing";
 
 /** Workers that must have been lost under a task before it may be given up. */
-constexpr std::size_t lossesToGiveUp = 2;
+constexpr std::size_t minLossesToAbandon = 2;
 
 class Checker
 {
--- a/testing/soak/checker_test.cpp
+++ b/testing/soak/checker_test.cpp
@@ -52,7 +52,7 @@
     {
         this->see(Checker::EventKind::Ended, step, run, kind);
         if (isNoted) {
-            this->see(Checker::EventKind::Noted, step, run, kind);
+            this->see(Checker::EventKind::Acknowledged, step, run, kind);
         }
     }
 
@@ -124,20 +124,20 @@
     this->end(0, 1, RunEndKind::Done, false);
     this->start(0, 2);
     CHECK(this->isClean());
-    this->see(Checker::EventKind::Noted, 0, 1);
+    this->see(Checker::EventKind::Acknowledged, 0, 1);
     CHECK(this->hasFound("TWICE"));
 }
 
 TEST_CASE_METHOD(CheckerFixture, "checker_startAfterTheLastAttempt_isOverTheBudget")
 {
     this->submit(twoSteps, 200);
-    for (std::uint32_t run = 1; run <= attemptsOfATask; ++run) {
+    for (std::uint32_t run = 1; run <= attemptsPerTask; ++run) {
         this->start(0, run);
         this->end(0, run, RunEndKind::Failed);
     }
     this->show("failed");
     CHECK(this->isClean());
-    this->start(0, attemptsOfATask + 1);
+    this->start(0, attemptsPerTask + 1);
     CHECK(this->hasFound("BUDGET"));
 }
 
--- a/testing/soak/plan.cpp
+++ b/testing/soak/plan.cpp
@@ -136,7 +136,7 @@
         fault.length = absl::Milliseconds(static_cast<std::int64_t>(this->between(rowOf(kind).leastSeconds, rowOf(kind).mostSeconds) * 1000));
         fault.kind = kind;
         fault.target = static_cast<std::uint32_t>(this->random() % this->targetsOf(kind));
-        fault.part = this->between(0, 1) < 0.5 ? 0 : static_cast<std::uint32_t>(1 + this->random() % mostPart);
+        fault.part = this->between(0, 1) < 0.5 ? 0 : static_cast<std::uint32_t>(1 + this->random() % maxPart);
         this->faults.push_back(fault);
     }
 
--- a/testing/soak/plan.h
+++ b/testing/soak/plan.h
@@ -51,7 +51,7 @@
 };
 
 /** Greatest Fault::part. */
-constexpr std::uint32_t mostPart = 1000;
+constexpr std::uint32_t maxPart = 1000;
 
 struct Fault {
     /** Since the start of the calls. */
--- a/testing/soak/traffic.cpp
+++ b/testing/soak/traffic.cpp
@@ -92,7 +92,7 @@
                           {"timeout_ms", timeoutMillis},
                           {"priority", queue},
                           {"service", "pool"},
-                          {"max_attempts", attemptsOfATask}});
+                          {"max_attempts", attemptsPerTask}});
     }
     if (version % 2 == 0) {
         routes.push_back({{"name", "more"}, {"host", "jobs.example"}, {"path_prefix", "/more/"}, {"timeout_ms", 1000}, {"service", "pool"}});
--- a/testing/worker.cpp
+++ b/testing/worker.cpp
@@ -125,8 +125,8 @@
             this->hasNews = true;
         }
         this->endDueTasks();
-        const bool isLate = this->underWay && now >= this->giveUpAt;
-        const bool isDue = !this->underWay && now >= this->nextAnnouncement;
+        const bool isLate = this->isAnnouncementInFlight && now >= this->giveUpAt;
+        const bool isDue = !this->isAnnouncementInFlight && now >= this->nextAnnouncement;
         if (isLate || isDue || (this->hasNews && now >= this->nextAnnouncement)) {
             this->nextEntry += isLate ? 1 : 0;
             this->announce();
@@ -166,7 +166,7 @@
 {
     const wire::AnnounceRequestT request = this->describe();
     this->hasNews = false;
-    this->underWay = true;
+    this->isAnnouncementInFlight = true;
     this->giveUpAt = controlNow() + announceTimeout;
     this->nextAnnouncement = controlNow() + absl::Milliseconds(20);
     http::OutgoingRequest outgoing;
@@ -176,28 +176,29 @@
     outgoing.timeout = announceTimeout;
     const std::uint64_t announced = request.sequence;
     const std::int64_t sentClock = request.clockMicros;
-    this->pool.start(std::move(outgoing), [this, announced, sentClock](const http::TransferResult &result) { this->takeAnswer(announced, sentClock, result); });
+    this->pool.start(std::move(outgoing),
+                     [this, announced, sentClock](const http::TransferResult &result) { this->handleAnswer(announced, sentClock, result); });
 }
 
-void StandinWorker::takeAnswer(std::uint64_t announced, std::int64_t sentClock, const http::TransferResult &result)
+void StandinWorker::handleAnswer(std::uint64_t announced, std::int64_t sentClock, const http::TransferResult &result)
 {
     if (announced != this->sequence) {
         return; // Given up: a later announcement is under way.
     }
-    this->underWay = false;
-    if (!result.whole || result.answer.status != 200) {
+    this->isAnnouncementInFlight = false;
+    if (!result.isComplete || result.response.status != 200) {
         ++this->nextEntry;
         this->nextAnnouncement = controlNow() + retryPause;
         return;
     }
-    const auto reply = wire::unpack<wire::AnnounceReplyT>(result.answer.body);
+    const auto reply = wire::unpack<wire::AnnounceReplyT>(result.response.body);
     if (reply.term >= this->term && reply.sequence == this->sequence) {
         this->nextAnnouncement = controlNow() + absl::Milliseconds(reply.nextAnnounceMillis);
-        this->takeReply(reply, sentClock);
+        this->handleReply(reply, sentClock);
     }
 }
 
-void StandinWorker::takeReply(const wire::AnnounceReplyT &reply, std::int64_t sentClock)
+void StandinWorker::handleReply(const wire::AnnounceReplyT &reply, std::int64_t sentClock)
 {
     this->term = reply.term;
     this->replySequence = reply.sequence;
@@ -296,7 +297,7 @@
     std::int64_t validUntil = 0;
     const bool isFenced = absl::SimpleAtoi(std::string(request.header(instance::validUntilHeader)), &validUntil);
     if (isFenced && monotonicMicros() > validUntil) {
-        exchange->answer({503, {{instance::requestIdHeader, requestId}, {instance::refusedHeader, "share-expired"}}, ""});
+        exchange->respond({503, {{instance::requestIdHeader, requestId}, {instance::refusedHeader, "share-expired"}}, ""});
         return;
     }
     std::uint32_t busyNow = 0;
@@ -327,7 +328,7 @@
         const Delayed answer = this->delayed.top();
         this->delayed.pop();
         --this->busy;
-        answer.exchange->answer(answer.answer);
+        answer.exchange->respond(answer.answer);
     }
 }
 
--- a/testing/worker.h
+++ b/testing/worker.h
@@ -79,7 +79,7 @@
     struct Delayed {
         Timestamp due;
         std::shared_ptr<http::Exchange> exchange;
-        http::Answer answer;
+        http::Response answer;
         bool operator<(const Delayed &other) const
         {
             return this->due > other.due;
@@ -88,9 +88,9 @@
 
     void run();
     void announce();
-    void takeAnswer(std::uint64_t announced, std::int64_t sentClock, const http::TransferResult &result);
+    void handleAnswer(std::uint64_t announced, std::int64_t sentClock, const http::TransferResult &result);
     wire::AnnounceRequestT describe();
-    void takeReply(const wire::AnnounceReplyT &reply, std::int64_t sentClock);
+    void handleReply(const wire::AnnounceReplyT &reply, std::int64_t sentClock);
     void endDueTasks();
     void startTask(const wire::AssignmentT &assignment);
     void stopTask(const TaskKey &key);
@@ -114,7 +114,7 @@
     http::TransferPool pool;
     Timestamp nextAnnouncement = absl::InfinitePast();
     Timestamp giveUpAt = absl::InfinitePast();
-    bool underWay = false;
+    bool isAnnouncementInFlight = false;
     /** A task has started or ended since the last announcement. */
     bool hasNews = false;
     std::atomic<bool> draining{false};
