--- a/paddlepier/workload/applycommand.h
+++ b/paddlepier/workload/applycommand.h
@@ -1,4 +1,4 @@
-// Applies one command to a workload as the log would, for tests and benchmarks.
+// Applies one command to a workload as a log entry would, for tests and benchmarks.
 //
 // Example:
 //     applyCommand(state, wallMillis, std::move(registration));
@@ -16,7 +16,7 @@
 namespace paddlepier::workload
 {
 
-/** @param atMillis  time of the entry, in milliseconds since 1970 */
+/** @param atMillis  timestamp of the log entry, in milliseconds since 1970 */
 template<typename Table>
 Outcome applyCommand(Workload &state, std::int64_t atMillis, Table table)
 {
--- a/paddlepier/workload/changelog.h
+++ b/paddlepier/workload/changelog.h
@@ -1,13 +1,14 @@
-// Which keys have changed lately, for readers that keep something derived from a large state.
+// Bounded log of recently changed keys, for readers that maintain data derived from a large state.
 //
-// A reader remembers a position and asks for the keys noted since. The log is bounded: a reader that has fallen too far behind is told
-// so and reads the whole state anew. Nobody has to read it; a key may be noted several times.
+// A reader stores a position and visits the keys recorded since then. The log retains a limited number of keys: visitSince() returns false
+// to a reader that has fallen too far behind, which then rebuilds from the complete state. Reading is optional, and a key that changes
+// repeatedly is recorded repeatedly.
 //
 // Example:
 //     if (!log.visitSince(position, [&](const std::string &job) { update(job); })) { rebuild(); }
 //     position = log.end();
 //
-// Thread safety: none; owned by the state whose changes it notes. Cost: note() is O(1), visitSince() O(keys since then).
+// Thread safety: none; owned by the state whose changes it records. Cost: record() is O(1), visitSince() is O(keys since the position).
 
 #ifndef PADDLEPIER_WORKLOAD_CHANGELOG_H
 #define PADDLEPIER_WORKLOAD_CHANGELOG_H
@@ -23,10 +24,10 @@
 class ChangeLog
 {
 public:
-    /** Positions rise from 1; 0 is before anything that a log holds. */
+    /** Positions increase from 1; 0 precedes every position that a log can hold. */
     using Position = std::uint64_t;
 
-    /** Above what a second brings, and some hundred kilobytes. */
+    /** More than the changes of one second; bounds the log to a few hundred kilobytes. */
     static constexpr std::size_t maxKeys = 8192;
 
     void record(const Key &key)
@@ -38,7 +39,7 @@
         }
     }
 
-    /** Anything may have changed: every reader reads the whole state anew. */
+    /** Marks the complete state as changed: every reader has to rebuild from it. */
     void invalidateAll()
     {
         this->begin += this->keys.size() + 1;
@@ -50,7 +51,7 @@
         return this->begin + this->keys.size();
     }
 
-    /** @return false, without a visit, if the log doesn't reach back to @p position */
+    /** @return false, without calling @p visit, if the log no longer reaches back to @p position */
     template<typename Visit>
     bool visitSince(Position position, Visit visit) const
     {
@@ -65,7 +66,7 @@
 
 private:
     std::deque<Key> keys;
-    /** Position of the first of `keys`. */
+    /** Position of the first entry of `keys`. */
     Position begin = 1;
 };
 
--- a/paddlepier/workload/changelog_test.cpp
+++ b/paddlepier/workload/changelog_test.cpp
@@ -1,4 +1,4 @@
-// What readers learn from a log of changes.
+// Readers of a change log see every key recorded since their position, or learn that they have to rebuild.
 
 #include "paddlepier/workload/changelog.h"
 
@@ -15,12 +15,12 @@
 class ChangeLogFixture
 {
 public:
-    /** What a reader at @p position is told; empty if it has to read anew. */
-    std::vector<int> since(ChangeLog<int>::Position position)
+    /** Keys visited by a reader at @p position; empty if it has to rebuild. */
+    std::vector<int> keysSince(ChangeLog<int>::Position position)
     {
-        std::vector<int> seen;
-        this->reachesBack = this->log.visitSince(position, [&seen](int key) { seen.push_back(key); });
-        return seen;
+        std::vector<int> visited;
+        this->reachesBack = this->log.visitSince(position, [&visited](int key) { visited.push_back(key); });
+        return visited;
     }
 
     ChangeLog<int> log;
@@ -29,39 +29,39 @@
 
 } // namespace
 
-TEST_CASE_METHOD(ChangeLogFixture, "reader_thatKeepsUp_isToldWhatIsNew")
+TEST_CASE_METHOD(ChangeLogFixture, "reader_withCurrentPosition_visitsNewKeys")
 {
-    CHECK(this->since(0).empty());
+    CHECK(this->keysSince(0).empty());
     CHECK_FALSE(this->reachesBack);
     const auto position = this->log.end();
     this->log.record(7);
     this->log.record(7);
     this->log.record(8);
-    CHECK(this->since(position) == std::vector<int>{7, 7, 8});
+    CHECK(this->keysSince(position) == std::vector<int>{7, 7, 8});
     CHECK(this->reachesBack);
-    CHECK(this->since(this->log.end()).empty());
+    CHECK(this->keysSince(this->log.end()).empty());
     CHECK(this->reachesBack);
 }
 
-TEST_CASE_METHOD(ChangeLogFixture, "reader_thatFellBehind_hasToReadAnew")
+TEST_CASE_METHOD(ChangeLogFixture, "reader_behindTheLog_hasToRebuild")
 {
     const auto position = this->log.end();
     for (std::size_t number = 0; number <= ChangeLog<int>::maxKeys; ++number) {
         this->log.record(static_cast<int>(number));
     }
-    CHECK(this->since(position).empty());
+    CHECK(this->keysSince(position).empty());
     CHECK_FALSE(this->reachesBack);
-    CHECK(this->since(position + 1).size() == ChangeLog<int>::maxKeys);
+    CHECK(this->keysSince(position + 1).size() == ChangeLog<int>::maxKeys);
 }
 
-TEST_CASE_METHOD(ChangeLogFixture, "changeOfEverything_sendsEveryReaderToTheState")
+TEST_CASE_METHOD(ChangeLogFixture, "invalidateAll_withReadersAtAnyPosition_makesThemRebuild")
 {
     this->log.record(1);
     const auto position = this->log.end();
     this->log.invalidateAll();
-    this->since(position);
+    this->keysSince(position);
     CHECK_FALSE(this->reachesBack);
-    this->since(this->log.end());
+    this->keysSince(this->log.end());
     CHECK(this->reachesBack);
 }
 
--- a/paddlepier/workload/configurationcheck.h
+++ b/paddlepier/workload/configurationcheck.h
@@ -1,7 +1,7 @@
-// Whether a configuration contradicts itself.
+// Consistency checks of a configuration, run before it is proposed.
 //
 // Example:
-//     checkConfiguration(change); // throws, or it may be proposed
+//     checkConfiguration(change); // throws if the configuration must not be proposed
 //
 // Thread safety: a free function without state. Cost: O(queues log queues).
 
@@ -13,7 +13,10 @@
 namespace paddlepier::workload
 {
 
-/** @throws InvalidArgumentError if a queue has no service or no time, two queues have one place, or two teams one name or key */
+/**
+ * @throws InvalidArgumentError if a queue names an unknown service or has a timeout of 0, if two queues share host and path prefix, or if
+ * a team's name or key is empty or used more than once
+ */
 void checkConfiguration(const work::ChangeConfigurationT &configuration);
 
 } // namespace paddlepier::workload
--- a/paddlepier/workload/incarnation.h
+++ b/paddlepier/workload/incarnation.h
@@ -1,16 +1,16 @@
-// One life of a worker: what runs there, what it has counted and what it knows end with it.
+// Incarnation of a worker: identifies one start of the worker process among all starts under the same id.
 //
-// A worker that starts again may do so under the id that it had. It then holds and knows nothing of before, and counts its
-// announcements and ends from 1 again, by a clock of its own. The id alone therefore names no life: what was learnt of one, or
-// promised to it, says nothing about the next.
+// A worker that restarts may reuse its id. The new process has none of the earlier runs or state, numbers its announcements and ends from 1
+// again, and may read a different clock. Facts learnt about one incarnation, and leases granted to it, therefore don't apply to the next
+// one, and the id alone doesn't identify an incarnation.
 //
-// A worker states when it was born. One that never does has a life for each id; it counts as the earliest life of that id.
+// A worker reports its start time, `born`. One that never reports it has a single incarnation per id, which orders before all others.
 //
 // Example:
-//     const Life life = lifeOf(registration);
-//     if (life.isAfter(known)) { ... }
+//     const Incarnation incarnation = incarnationOf(registration);
+//     if (incarnation.isAfter(known)) { ... }
 //
-// Thread safety: plain values. Cost: comparing costs as much as comparing the ids.
+// Thread safety: plain values. Cost: a comparison costs one comparison of the ids.
 
 #ifndef PADDLEPIER_WORKLOAD_INCARNATION_H
 #define PADDLEPIER_WORKLOAD_INCARNATION_H
@@ -30,10 +30,10 @@
 
 struct Incarnation {
     std::string id;
-    /** Milliseconds since 1970; 0 if the worker has never said. */
+    /** Start time of the worker process in milliseconds since 1970; 0 if the worker has never reported it. */
     std::uint64_t born = 0;
 
-    /** Lives of one id follow each other in the order of their births. */
+    /** Incarnations of one id are ordered by start time. */
     auto operator<=>(const Incarnation &) const = default; // NOLINT(modernize-use-nullptr): a false report of this version
 
     bool isAfter(const Incarnation &other) const
@@ -41,7 +41,7 @@
         return this->id == other.id && this->born > other.born;
     }
 
-    /** For lines and messages. */
+    /** For log lines and messages. */
     std::string text() const
     {
         return this->born == 0 ? this->id : absl::StrCat(this->id, "@", this->born);
@@ -50,9 +50,9 @@
 
 /** For hash tables. */
 struct IncarnationHash {
-    std::size_t operator()(const Incarnation &life) const
+    std::size_t operator()(const Incarnation &incarnation) const
     {
-        return absl::HashOf(life.id, life.born);
+        return absl::HashOf(incarnation.id, incarnation.born);
     }
 };
 
--- a/paddlepier/workload/job.cpp
+++ b/paddlepier/workload/job.cpp
@@ -1,4 +1,4 @@
-// One job of steps.
+// State machine of one job.
 
 #include "paddlepier/workload/job.h"
 
@@ -18,20 +18,20 @@
     return std::max<std::uint32_t>(1, spec.repetitions);
 }
 
-/** The worker has listed the end, so that the run was there; what the leader concludes itself is no proof. */
+/** Ends reported by the worker prove that the run reached it; ends concluded by the leader don't. */
 bool isProofOfStart(work::RunEndKind kind)
 {
     return kind != work::RunEndKind::Void && kind != work::RunEndKind::WorkerLost && kind != work::RunEndKind::Expired && kind != work::RunEndKind::Superseded;
 }
 
-std::string problemOfStep(const work::StepSpecT &step, std::size_t number)
+std::string stepError(const work::StepSpecT &step, std::size_t number)
 {
     if (step.count == 0) {
-        return absl::StrCat("step ", number, " has no tasks");
+        return absl::StrCat("step ", number, ": count is 0, expected at least 1");
     }
     for (const std::uint32_t earlier : step.after) {
         if (earlier >= number) {
-            return absl::StrCat("step ", number, " follows step ", earlier, ", which isn't an earlier one");
+            return absl::StrCat("step ", number, ": after: ", earlier, " is not the number of an earlier step");
         }
     }
     return "";
@@ -42,18 +42,18 @@
 std::string validationError(const work::JobSpecT &spec)
 {
     if (spec.steps.empty()) {
-        return "a job needs a step";
+        return "the job has no steps";
     }
     std::uint64_t tasks = 0;
     for (std::size_t number = 0; number < spec.steps.size(); ++number) {
-        std::string problem = problemOfStep(*spec.steps[number], number);
-        if (!problem.empty()) {
-            return problem;
+        std::string error = stepError(*spec.steps[number], number);
+        if (!error.empty()) {
+            return error;
         }
         tasks += spec.steps[number]->count;
     }
     if (tasks * occurrenceCount(spec) > maxTasksPerJob) {
-        return absl::StrCat("over ", maxTasksPerJob, " tasks");
+        return absl::StrCat("the job exceeds the limit of ", maxTasksPerJob, " tasks");
     }
     return "";
 }
@@ -64,9 +64,9 @@
     case work::JobFailureReason::None:
         break;
     case work::JobFailureReason::AttemptsUsedUp:
-        return absl::StrCat("task ", this->task.text(), " has failed as often as its queue allows");
+        return absl::StrCat("task ", this->task.text(), " has used up the attempts that its queue allows");
     case work::JobFailureReason::WorkersLost:
-        return absl::StrCat("workers were lost one after the other under task ", this->task.text(), ": ", absl::StrJoin(this->lostWorkers, ", "));
+        return absl::StrCat("several workers were lost while running task ", this->task.text(), ": ", absl::StrJoin(this->lostWorkers, ", "));
     }
     return "";
 }
@@ -250,8 +250,8 @@
     if (this->hasEnded() || !this->hasTask(key) || !this->isReady(key.occurrence, key.step)) {
         return false;
     }
-    const Task &wanted = this->task(key);
-    return !wanted.isDone && !wanted.hasRun() && run > wanted.lastRun;
+    const Task &task = this->task(key);
+    return !task.isDone && !task.hasRun() && run > task.lastRun;
 }
 
 void Job::place(const TaskKey &key, std::uint32_t run, const Incarnation &worker, std::int64_t nowMillis)
@@ -379,8 +379,8 @@
     }
     task.lostWorkers.push_back(worker.text());
     task.freshLosses += isFresh ? 1 : 0;
-    const bool isShown = isOnlySuspect && task.lostWorkers.size() >= lossThreshold && task.freshLosses >= freshLossThreshold;
-    if (!isShown && task.lostWorkers.size() < maxLosses) {
+    const bool isProvenCause = isOnlySuspect && task.lostWorkers.size() >= lossThreshold && task.freshLosses >= freshLossThreshold;
+    if (!isProvenCause && task.lostWorkers.size() < maxLosses) {
         return false;
     }
     this->fail(work::JobFailureReason::WorkersLost, key, nowMillis);
@@ -399,9 +399,9 @@
 void Job::adjustUnconfirmedLosses(const TaskKey &key, std::int32_t change)
 {
     if (this->hasTask(key)) {
-        std::uint32_t &doubtful = this->mutableTask(key).unconfirmedLosses;
-        // The job may be a new one under the id of one that was forgotten.
-        doubtful += change < 0 && doubtful == 0 ? 0 : static_cast<std::uint32_t>(change);
+        std::uint32_t &unconfirmed = this->mutableTask(key).unconfirmedLosses;
+        // The id may belong to a newer job, submitted after the one that was counted was removed.
+        unconfirmed += change < 0 && unconfirmed == 0 ? 0 : static_cast<std::uint32_t>(change);
     }
 }
 
--- a/paddlepier/workload/job.h
+++ b/paddlepier/workload/job.h
@@ -1,17 +1,16 @@
-// One job of steps: the aggregate that decides what a placement or the end of a run does to it.
+// State machine of one job: applies placements and ends of runs to its steps and tasks.
 //
-// A job's steps run once, or once for each occurrence. A step's tasks may run when all steps that it follows are done. Of
-// a task at most one run is under way; runs are numbered from 1. A gang runs and ends as a whole: all members carry the
-// same run number.
+// The steps of a job run once, or once per occurrence. The tasks of a step become runnable when all steps that it follows are done. A task has
+// at most one active run; runs are numbered from 1. A gang is started and completed atomically: all members share one run number.
 //
-// A task under which worker after worker is lost is given up, and its job fails: every start of it would cost a worker and
-// all that runs there. A loss counts for each task that may have run on the worker. After enoughLosses the task is given up if
-// the last of these workers ran nothing else that can have been the cause, after mostLastTries more in any case. What is known of losses
-// is part of the replicated state, so that it outlives leaders, restarts and snapshots.
+// A task that repeatedly coincides with the loss of its worker is abandoned and its job fails, since every further start could take down
+// a worker with everything that runs there. A loss counts for each task that may have run on the worker. After lossThreshold losses the
+// task is abandoned if it was the only suspect on the last lost worker; otherwise it gets maxFinalAttempts more starts and is abandoned
+// after them. Loss records are part of the replicated state and survive leader changes, restarts and snapshots.
 //
 // Invariants:
-//  - a task has a worker exactly while a run of it may be under way there;
-//  - a job that has ended has no new runs, but may have runs that aren't known to be over.
+//  - a task has a worker exactly while a run of it may be active there;
+//  - a job that has ended gets no new runs, but may have runs whose end is not confirmed yet.
 //
 // Thread safety: none; owned by the ledger.
 
@@ -31,40 +30,44 @@
 {
 
 /**
- * Workers lost under one task after which it's given up, if nothing else can have taken the last of them down and another one was lost
- * just after the task's start, too. Each further one would cost its neighbours their work; fewer would let two accidents end a job that
- * could be done.
+ * Lost workers after which a task is abandoned, provided that it was the only suspect on the last of them and that freshLossThreshold of
+ * the losses happened just after a start of the task. A higher threshold would cost the tasks beside it more work; a lower one would let two
+ * unrelated losses fail a job that could complete.
  */
 constexpr std::size_t lossThreshold = 3;
 constexpr std::size_t freshLossThreshold = 2;
-/** Starts after enoughLosses, however they end: a member of a gang may be broken off by another one before it takes its worker down. */
+/**
+ * Starts allowed after lossThreshold losses, however they end: a member of a gang may be stopped because of another member before it
+ * takes its worker down, and would otherwise be started without limit.
+ */
 constexpr std::uint32_t maxFinalAttempts = 2;
-/** The same whatever is known of the losses. */
+/** Losses after which a task is abandoned even if it was never the only suspect. */
 constexpr std::size_t maxLosses = lossThreshold + maxFinalAttempts;
 
 /**
- * A lasting task that was placed so long before its worker was known to be lost had been at work: a loss is known within a lease and the
- * time after which silent workers are forgotten (10 s and 20 s), and a task that takes its worker down once a minute is worth keeping.
+ * A lasting task is settled, and its earlier losses are cleared, if it was placed at least this long before the loss of its worker was
+ * detected. Detection takes at most a lease (10 s) plus the time until an unresponsive worker is removed (20 s), so a settled task had
+ * been running for a while; one that takes its worker down once a minute is still worth running.
  */
 constexpr std::int64_t settledAfterMillis = 60'000;
 
 struct Task {
     bool isDone = false;
     bool everStarted = false;
-    /** Highest run given out; 0 before the first. */
+    /** Number of the newest run placed; 0 before the first. */
     std::uint32_t lastRun = 0;
     std::uint32_t failures = 0;
-    /** Life of the worker of the run that may be under way; without an id if there is none. */
+    /** Worker of the run that may be active; its id is empty if no run is. */
     Incarnation worker;
     std::string checkpoint;
-    /** Workers that were lost while it ran there; mostLosses at most. */
+    /** Workers that were lost while the task may have run there; at most maxLosses. */
     std::vector<std::string> lostWorkers;
-    /** Of these, the ones on which it had just been started. */
+    /** Of `lostWorkers`, those on which the task had just been started. */
     std::uint32_t freshLosses = 0;
     std::int64_t placedAtMillis = 0;
-    /** Placements since it had enoughLosses. */
+    /** Placements since lossThreshold was reached. */
     std::uint32_t finalAttempts = 0;
-    /** Workers on which a run of it was given up with its lease, and which may be lost or cut off; kept by the workload. */
+    /** Workers on which the lease of a run expired and which may be lost or merely partitioned; maintained by Workload. */
     std::uint32_t unconfirmedLosses = 0;
 
     bool hasRun() const
@@ -72,26 +75,26 @@
         return !this->worker.id.empty();
     }
 
-    /** A worker was lost under it: it may be the cause. */
+    /** A worker was lost while the task may have run there, so that the task may be the cause. */
     bool isSuspect() const
     {
         return !this->lostWorkers.empty();
     }
 
-    /** Losses, those counted that may turn out to be cuts. */
+    /** Losses, including the unconfirmed ones, which may turn out to be partitions. */
     std::size_t possibleLosses() const
     {
         return this->lostWorkers.size() + this->unconfirmedLosses;
     }
 };
 
-/** Why a job has failed. */
+/** Reason for which a job has failed. */
 struct JobFailure {
     work::JobFailureReason reason = work::JobFailureReason::None;
     TaskKey task;
     std::vector<std::string> lostWorkers;
 
-    /** For callers and operators; empty while there is no failure. */
+    /** Description for callers and operators; empty if the job has not failed. */
     std::string text() const;
 };
 
@@ -99,9 +102,9 @@
     std::vector<Task> tasks;
     std::uint32_t doneTasks = 0;
     std::uint32_t runningTasks = 0;
-    /** Tasks that are neither done nor have a run; beside copies a task can be done and have one. */
+    /** Tasks that are not done and have no run. A done task can have a run: when a superseded run completes, its copy may still be active. */
     std::uint32_t waitingTasks = 0;
-    /** Steps that this one follows and that aren't done. */
+    /** Steps that this one follows and that are not done yet. */
     std::uint32_t openPredecessors = 0;
     std::uint32_t gangFailures = 0;
     std::uint32_t lastFailedRun = 0;
@@ -116,22 +119,22 @@
     std::vector<Step> steps;
 };
 
-/** Most tasks that one job may have in all its occurrences. */
+/** Maximum number of tasks of one job over all its occurrences. */
 constexpr std::uint64_t maxTasksPerJob = 20'000;
 
 class Job
 {
 public:
-    /** @param team  the one that the job counts for; empty for none */
+    /** @param team  team whose quota the job counts towards; empty for none */
     Job(std::string jobId, work::QueueSpecT queueSpec, work::JobSpecT jobSpec, std::int64_t nowMillis, std::string team = {});
     explicit Job(const work::JobRecordT &record);
 
     const std::string &id() const;
-    /** Empty for a job of no team. It stays the same, whatever becomes of the key that it came with. */
+    /** Empty for a job without a team. Fixed at submission, even if the key used then is later moved or removed. */
     const std::string &team() const;
     const work::JobSpecT &spec() const;
     const work::StepSpecT &stepSpec(std::uint32_t step) const;
-    /** As it stood when the job was accepted. */
+    /** The queue's configuration at the time when the job was accepted. */
     const work::QueueSpecT &queue() const;
     work::JobState state() const;
     bool isCancelled() const;
@@ -141,50 +144,50 @@
     const Task &task(const TaskKey &key) const;
 
     bool hasEnded() const;
-    /** It has ended, and no run of it is under way. */
+    /** The job has ended and none of its runs is active. */
     bool isFullyEnded() const;
     bool hasTask(const TaskKey &key) const;
     std::uint32_t activeRunCount() const;
-    /** Tasks of all steps, ready or not, that are neither done nor have a run; O(1). */
+    /** Tasks of all steps, ready or not, that are not done and have no run; O(1). */
     std::uint32_t waitingTasks() const;
-    /** A run of it was on a worker; one that is there now and hasn't ended may not be known here. */
+    /** A run of the job is known to have reached a worker. Learnt from the ends that workers report, so that a first active run doesn't count. */
     bool hasStarted() const;
-    /** When an occurrence may start, in milliseconds since 1970; 0 for a job without repetitions. */
+    /** Earliest start of an occurrence in milliseconds since 1970; 0 for a job without repetitions. */
     std::int64_t dueMillis(std::uint32_t occurrence) const;
-    /** All steps that @p step follows are done; O(1). */
+    /** Whether all steps that @p step follows are done; O(1). */
     bool isReady(std::uint32_t occurrence, std::uint32_t step) const;
-    /** The next run number of a task, or of the whole gang. */
+    /** The next run number of a task; for a member of a gang, that of the gang. */
     std::uint32_t nextRun(const TaskKey &key) const;
 
-    /** A run with this number may begin now. */
+    /** Whether a run with this number may be placed now. */
     bool mayPlace(const TaskKey &key, std::uint32_t run) const;
     void place(const TaskKey &key, std::uint32_t run, const Incarnation &worker, std::int64_t nowMillis);
-    /** The run that is under way at @p from turns out to be on the next life of that worker. @return whether it was that run */
+    /** Reassigns an active run from @p from to the worker's next incarnation, which received its start. @return false if @p from has no such run */
     bool moveRun(const TaskKey &key, std::uint32_t run, const Incarnation &from, const Incarnation &to);
-    /** Ends the run that is under way; an end of any other run changes nothing. @return whether it was that run */
+    /** Ends the active run; the end of any other run is ignored. @return whether the run was active */
     bool endRun(const TaskKey &key, std::uint32_t run, const Incarnation &worker, work::RunEndKind kind, const std::string &checkpoint, std::int64_t nowMillis);
-    /** A run that was superseded has ended: done counts as the task's end, failed as an attempt. */
+    /** Applies the end of a superseded run: Done completes the task, Failed counts as an attempt. */
     void endSupersededRun(const TaskKey &key, std::uint32_t run, work::RunEndKind kind, std::int64_t nowMillis);
     void cancel(std::int64_t nowMillis);
 
     /**
-     * A worker was lost while a run of the task may have been there.
+     * Records the loss of a worker on which a run of the task may have been active.
      *
      * @param isFresh        the run had just been started
-     * @param isOnlySuspect  nothing else on the worker can have been the cause
-     * @return whether the task is given up with that
+     * @param isOnlySuspect  no other run on the worker can have caused the loss
+     * @return whether the task is abandoned because of this loss
      */
     bool recordLoss(const TaskKey &key, const Incarnation &worker, bool isFresh, bool isOnlySuspect, std::int64_t nowMillis);
-    /** The task has shown that losses before weren't its doing. */
+    /** Clears the recorded losses, once the task has run long enough not to be their cause. */
     void clearLosses(const TaskKey &key);
-    /** One worker more, or less, of which it isn't known whether it was lost under the task. */
+    /** Adds @p change, 1 or -1, to the number of unconfirmed losses. */
     void adjustUnconfirmedLosses(const TaskKey &key, std::int32_t change);
     const JobFailure &failure() const;
 
-    /** Of an ended job: frees what only a start needs. */
+    /** Frees the payload of an ended job, which only starts need. */
     void releasePayload();
 
-    /** For a snapshot; the tasks of a job that is over are left out. */
+    /** Serializes the job for a snapshot; the tasks of a fully ended job are left out. */
     flatbuffers::Offset<work::JobRecord> pack(flatbuffers::FlatBufferBuilder &builder) const;
     work::JobRecordT record() const;
 
@@ -193,10 +196,10 @@
     Step &mutableStep(const TaskKey &key);
     void applyRunEnd(const TaskKey &key, std::uint32_t run, work::RunEndKind kind, std::int64_t nowMillis);
     void completeTask(const TaskKey &key);
-    /** Counts the tasks and steps anew; O(tasks). */
+    /** Recomputes the derived counts of tasks and steps; O(tasks). */
     void recount();
     void adjustWaiting(Step &step, std::int32_t change);
-    /** The step is done: those that follow it have one step less to wait for. */
+    /** Decrements the open predecessors of all steps that follow the done step @p step. */
     void releaseSuccessors(Occurrence &occurrence, std::uint32_t step) const;
     void recordFailure(const TaskKey &key, std::uint32_t run, std::int64_t nowMillis);
     void end(work::JobState endState, std::int64_t nowMillis);
@@ -213,15 +216,15 @@
     std::int64_t endedAt = 0;
     JobFailure jobFailure;
     std::vector<Occurrence> occurrenceList;
-    // Derived:
+    // Derived by recount():
     std::uint32_t activeRuns = 0;
     std::uint32_t waitingCount = 0;
-    /** In all occurrences. */
+    /** Steps of all occurrences that are not done. */
     std::uint64_t openSteps = 0;
     bool hasStartedRun = false;
 };
 
-/** What is wrong with @p spec, or an empty text. */
+/** @return description of the first error in @p spec; empty if it is valid */
 std::string validationError(const work::JobSpecT &spec);
 
 } // namespace paddlepier::workload
--- a/paddlepier/workload/job_test.cpp
+++ b/paddlepier/workload/job_test.cpp
@@ -1,4 +1,4 @@
-// What a placement or the end of a run does to a job.
+// Effects of placements and ends of runs on a job, and its stored record.
 
 #include "paddlepier/workload/job.h"
 
@@ -15,10 +15,10 @@
 public:
     static std::unique_ptr<work::StepSpecT> step(std::uint32_t count)
     {
-        auto made = std::make_unique<work::StepSpecT>();
-        made->count = count;
-        made->demand = std::make_unique<work::Demand>(1000, 512, 0);
-        return made;
+        auto stepSpec = std::make_unique<work::StepSpecT>();
+        stepSpec->count = count;
+        stepSpec->demand = std::make_unique<work::Demand>(1000, 512, 0);
+        return stepSpec;
     }
 
     Job job()
@@ -48,40 +48,40 @@
 
 } // namespace
 
-TEST_CASE_METHOD(JobFixture, "supersededRun_thatFails_countsAsAnAttempt")
+TEST_CASE_METHOD(JobFixture, "supersededRun_thatFails_countsAsAttempt")
 {
     this->spec.steps.push_back(step(1));
-    Job made = this->job();
-    run(made, key(0, 0), work::RunEndKind::Superseded);
-    CHECK(made.task(key(0, 0)).failures == 0);
-    CHECK_FALSE(made.hasStarted());
-    made.endSupersededRun(key(0, 0), 1, work::RunEndKind::Failed, 3000);
-    run(made, key(0, 0), work::RunEndKind::Failed);
-    CHECK(made.state() == work::JobState::Failed);
+    Job job = this->job();
+    run(job, key(0, 0), work::RunEndKind::Superseded);
+    CHECK(job.task(key(0, 0)).failures == 0);
+    CHECK_FALSE(job.hasStarted());
+    job.endSupersededRun(key(0, 0), 1, work::RunEndKind::Failed, 3000);
+    run(job, key(0, 0), work::RunEndKind::Failed);
+    CHECK(job.state() == work::JobState::Failed);
 }
 
-TEST_CASE_METHOD(JobFixture, "supersededRun_thatIsDone_completesTheJobBesideItsCopy")
+TEST_CASE_METHOD(JobFixture, "supersededRun_thatIsDone_completesTheJobWhileItsCopyRuns")
 {
     this->spec.steps.push_back(step(1));
-    Job made = this->job();
-    run(made, key(0, 0), work::RunEndKind::Superseded);
-    made.place(key(0, 0), 2, {"w2"}, 1000);
-    made.endSupersededRun(key(0, 0), 1, work::RunEndKind::Done, 3000);
-    CHECK(made.state() == work::JobState::Completed);
-    CHECK(made.activeRunCount() == 1);
-    CHECK(made.endRun(key(0, 0), 2, {"w2"}, work::RunEndKind::Stopped, "", 3100));
-    CHECK(made.state() == work::JobState::Completed);
-    CHECK(made.activeRunCount() == 0);
+    Job job = this->job();
+    run(job, key(0, 0), work::RunEndKind::Superseded);
+    job.place(key(0, 0), 2, {"w2"}, 1000);
+    job.endSupersededRun(key(0, 0), 1, work::RunEndKind::Done, 3000);
+    CHECK(job.state() == work::JobState::Completed);
+    CHECK(job.activeRunCount() == 1);
+    CHECK(job.endRun(key(0, 0), 2, {"w2"}, work::RunEndKind::Stopped, "", 3100));
+    CHECK(job.state() == work::JobState::Completed);
+    CHECK(job.activeRunCount() == 0);
 }
 
-TEST_CASE_METHOD(JobFixture, "begun_afterRunThatNeverStarted_isFalse")
+TEST_CASE_METHOD(JobFixture, "hasStarted_afterRunThatNeverStarted_isFalse")
 {
     this->spec.steps.push_back(step(1));
-    Job made = this->job();
-    run(made, key(0, 0), work::RunEndKind::Void);
-    CHECK_FALSE(made.hasStarted());
-    run(made, key(0, 0), work::RunEndKind::Stopped);
-    CHECK(made.hasStarted());
+    Job job = this->job();
+    run(job, key(0, 0), work::RunEndKind::Void);
+    CHECK_FALSE(job.hasStarted());
+    run(job, key(0, 0), work::RunEndKind::Stopped);
+    CHECK(job.hasStarted());
 }
 
 TEST_CASE_METHOD(JobFixture, "placement_beforeEarlierStepIsDone_isRefused")
@@ -89,153 +89,153 @@
     this->spec.steps.push_back(step(2));
     this->spec.steps.push_back(step(1));
     this->spec.steps[1]->after = {0};
-    Job made = this->job();
-    run(made, key(0, 0), work::RunEndKind::Done);
-    CHECK_FALSE(made.mayPlace(key(1, 0), 1));
-    run(made, key(0, 1), work::RunEndKind::Done);
-    CHECK(made.mayPlace(key(1, 0), 1));
+    Job job = this->job();
+    run(job, key(0, 0), work::RunEndKind::Done);
+    CHECK_FALSE(job.mayPlace(key(1, 0), 1));
+    run(job, key(0, 1), work::RunEndKind::Done);
+    CHECK(job.mayPlace(key(1, 0), 1));
 }
 
-TEST_CASE_METHOD(JobFixture, "placement_ofTaskWithRunUnderWay_isRefused")
+TEST_CASE_METHOD(JobFixture, "placement_ofTaskWithActiveRun_isRefused")
 {
     this->spec.steps.push_back(step(1));
-    Job made = this->job();
-    made.place(key(0, 0), 1, {"w1"}, 1000);
-    CHECK_FALSE(made.mayPlace(key(0, 0), 2));
-    CHECK_FALSE(made.endRun(key(0, 0), 1, {"w2"}, work::RunEndKind::Done, "", 2000));
-    CHECK_FALSE(made.endRun(key(0, 0), 2, {"w1"}, work::RunEndKind::Done, "", 2000));
-    CHECK_FALSE(made.mayPlace(key(0, 0), 2));
+    Job job = this->job();
+    job.place(key(0, 0), 1, {"w1"}, 1000);
+    CHECK_FALSE(job.mayPlace(key(0, 0), 2));
+    CHECK_FALSE(job.endRun(key(0, 0), 1, {"w2"}, work::RunEndKind::Done, "", 2000));
+    CHECK_FALSE(job.endRun(key(0, 0), 2, {"w1"}, work::RunEndKind::Done, "", 2000));
+    CHECK_FALSE(job.mayPlace(key(0, 0), 2));
 }
 
-TEST_CASE_METHOD(JobFixture, "failedRuns_upToAttempts_endTheJob")
+TEST_CASE_METHOD(JobFixture, "failedRuns_reachingMaxAttempts_failTheJob")
 {
     this->spec.steps.push_back(step(2));
-    Job made = this->job();
-    run(made, key(0, 0), work::RunEndKind::Failed);
-    run(made, key(0, 0), work::RunEndKind::Stopped);
-    CHECK(made.state() == work::JobState::Running);
-    run(made, key(0, 0), work::RunEndKind::Failed);
-    CHECK(made.state() == work::JobState::Failed);
-    CHECK_FALSE(made.mayPlace(key(0, 1), 1));
+    Job job = this->job();
+    run(job, key(0, 0), work::RunEndKind::Failed);
+    run(job, key(0, 0), work::RunEndKind::Stopped);
+    CHECK(job.state() == work::JobState::Running);
+    run(job, key(0, 0), work::RunEndKind::Failed);
+    CHECK(job.state() == work::JobState::Failed);
+    CHECK_FALSE(job.mayPlace(key(0, 1), 1));
 }
 
-TEST_CASE_METHOD(JobFixture, "gang_oneMemberDone_isDoneAsAWhole")
+TEST_CASE_METHOD(JobFixture, "gang_withOneMemberDone_isDoneCompletely")
 {
     this->spec.steps.push_back(step(3));
     this->spec.steps[0]->isGang = true;
-    Job made = this->job();
+    Job job = this->job();
     for (std::uint32_t index = 0; index < 3; ++index) {
-        made.place(key(0, index), 1, {"w1"}, 1000);
+        job.place(key(0, index), 1, {"w1"}, 1000);
     }
-    CHECK(made.endRun(key(0, 1), 1, {"w1"}, work::RunEndKind::Done, "", 2000));
-    CHECK(made.state() == work::JobState::Completed);
-    CHECK(made.activeRunCount() == 2);
+    CHECK(job.endRun(key(0, 1), 1, {"w1"}, work::RunEndKind::Done, "", 2000));
+    CHECK(job.state() == work::JobState::Completed);
+    CHECK(job.activeRunCount() == 2);
 }
 
-TEST_CASE_METHOD(JobFixture, "gang_severalMembersOfOneRunFail_countsOneAttempt")
+TEST_CASE_METHOD(JobFixture, "gang_withSeveralFailedMembersInOneRun_countsOneAttempt")
 {
     this->spec.steps.push_back(step(2));
     this->spec.steps[0]->isGang = true;
-    Job made = this->job();
-    made.place(key(0, 0), 1, {"w1"}, 1000);
-    made.place(key(0, 1), 1, {"w2"}, 1000);
-    made.endRun(key(0, 0), 1, {"w1"}, work::RunEndKind::Failed, "", 2000);
-    made.endRun(key(0, 1), 1, {"w2"}, work::RunEndKind::Failed, "", 2000);
-    CHECK(made.state() == work::JobState::Running);
-    CHECK(made.nextRun(key(0, 0)) == 2);
+    Job job = this->job();
+    job.place(key(0, 0), 1, {"w1"}, 1000);
+    job.place(key(0, 1), 1, {"w2"}, 1000);
+    job.endRun(key(0, 0), 1, {"w1"}, work::RunEndKind::Failed, "", 2000);
+    job.endRun(key(0, 1), 1, {"w2"}, work::RunEndKind::Failed, "", 2000);
+    CHECK(job.state() == work::JobState::Running);
+    CHECK(job.nextRun(key(0, 0)) == 2);
 }
 
-TEST_CASE_METHOD(JobFixture, "lastingTask_howeverItEnds_isToRunAgain")
+TEST_CASE_METHOD(JobFixture, "lastingTask_endingInAnyWay_runsAgain")
 {
     this->spec.steps.push_back(step(1));
     this->spec.steps[0]->isLasting = true;
-    Job made = this->job();
+    Job job = this->job();
     for (int attempt = 0; attempt < 5; ++attempt) {
-        run(made, key(0, 0), attempt % 2 == 0 ? work::RunEndKind::Failed : work::RunEndKind::Done);
+        run(job, key(0, 0), attempt % 2 == 0 ? work::RunEndKind::Failed : work::RunEndKind::Done);
     }
-    CHECK(made.state() == work::JobState::Running);
-    made.cancel(3000);
-    CHECK(made.state() == work::JobState::Cancelled);
-    CHECK_FALSE(made.mayPlace(key(0, 0), 9));
+    CHECK(job.state() == work::JobState::Running);
+    job.cancel(3000);
+    CHECK(job.state() == work::JobState::Cancelled);
+    CHECK_FALSE(job.mayPlace(key(0, 0), 9));
 }
 
-TEST_CASE_METHOD(JobFixture, "record_ofJobInTheMiddle_restoresTheSame")
+TEST_CASE_METHOD(JobFixture, "record_ofPartlyDoneJob_restoresItsState")
 {
     this->spec.steps.push_back(step(3));
-    Job made = this->job();
-    run(made, key(0, 0), work::RunEndKind::Done);
-    run(made, key(0, 1), work::RunEndKind::Failed);
-    made.place(key(0, 2), 1, {"w3"}, 1000);
-    const Job again(made.record());
-    CHECK(again.record().occurrences[0]->steps[0]->tasks.size() == 3);
-    CHECK(again.task(key(0, 0)).isDone);
-    CHECK(again.task(key(0, 1)).failures == 1);
-    CHECK(again.task(key(0, 2)).worker.id == "w3");
-    CHECK(again.activeRunCount() == 1);
-    CHECK(again.hasStarted());
+    Job job = this->job();
+    run(job, key(0, 0), work::RunEndKind::Done);
+    run(job, key(0, 1), work::RunEndKind::Failed);
+    job.place(key(0, 2), 1, {"w3"}, 1000);
+    const Job restored(job.record());
+    CHECK(restored.record().occurrences[0]->steps[0]->tasks.size() == 3);
+    CHECK(restored.task(key(0, 0)).isDone);
+    CHECK(restored.task(key(0, 1)).failures == 1);
+    CHECK(restored.task(key(0, 2)).worker.id == "w3");
+    CHECK(restored.activeRunCount() == 1);
+    CHECK(restored.hasStarted());
 }
 
-TEST_CASE_METHOD(JobFixture, "waitingTasks_besideACopyOfADoneTask_countsThoseToPlace")
+TEST_CASE_METHOD(JobFixture, "waitingTasks_withRunningCopyOfADoneTask_countsOnlyTasksToPlace")
 {
     this->spec.steps.push_back(step(3));
-    Job made = this->job();
-    CHECK(made.waitingTasks() == 3);
-    run(made, key(0, 0), work::RunEndKind::Superseded);
-    made.place(key(0, 0), 2, {"w2"}, 1000);
-    CHECK(made.waitingTasks() == 2);
-    made.endSupersededRun(key(0, 0), 1, work::RunEndKind::Done, 3000);
-    // It is done and has a run.
-    CHECK(made.waitingTasks() == 2);
-    CHECK(made.endRun(key(0, 0), 2, {"w2"}, work::RunEndKind::Stopped, "", 3100));
-    CHECK(made.waitingTasks() == 2);
-    run(made, key(0, 1), work::RunEndKind::Failed);
-    CHECK(made.waitingTasks() == 2);
-    CHECK(Job(made.record()).waitingTasks() == 2);
+    Job job = this->job();
+    CHECK(job.waitingTasks() == 3);
+    run(job, key(0, 0), work::RunEndKind::Superseded);
+    job.place(key(0, 0), 2, {"w2"}, 1000);
+    CHECK(job.waitingTasks() == 2);
+    job.endSupersededRun(key(0, 0), 1, work::RunEndKind::Done, 3000);
+    // The task is done while its copy still runs.
+    CHECK(job.waitingTasks() == 2);
+    CHECK(job.endRun(key(0, 0), 2, {"w2"}, work::RunEndKind::Stopped, "", 3100));
+    CHECK(job.waitingTasks() == 2);
+    run(job, key(0, 1), work::RunEndKind::Failed);
+    CHECK(job.waitingTasks() == 2);
+    CHECK(Job(job.record()).waitingTasks() == 2);
 }
 
-TEST_CASE_METHOD(JobFixture, "stepAfterSeveral_isReadyOnceAllAreDone_alsoWhenRestored")
+TEST_CASE_METHOD(JobFixture, "step_afterSeveralSteps_isReadyOnceAllAreDone")
 {
     this->spec.steps.push_back(step(1));
     this->spec.steps.push_back(step(1));
     this->spec.steps.push_back(step(1));
     this->spec.steps[2]->after = {0, 1, 0};
-    Job made = this->job();
-    CHECK(made.isReady(0, 1));
-    run(made, key(0, 0), work::RunEndKind::Done);
-    CHECK_FALSE(made.isReady(0, 2));
-    CHECK_FALSE(Job(made.record()).isReady(0, 2));
-    run(made, key(1, 0), work::RunEndKind::Done);
-    CHECK(made.isReady(0, 2));
-    CHECK(Job(made.record()).isReady(0, 2));
-    run(made, key(2, 0), work::RunEndKind::Done);
-    CHECK(made.state() == work::JobState::Completed);
+    Job job = this->job();
+    CHECK(job.isReady(0, 1));
+    run(job, key(0, 0), work::RunEndKind::Done);
+    CHECK_FALSE(job.isReady(0, 2));
+    CHECK_FALSE(Job(job.record()).isReady(0, 2));
+    run(job, key(1, 0), work::RunEndKind::Done);
+    CHECK(job.isReady(0, 2));
+    CHECK(Job(job.record()).isReady(0, 2));
+    run(job, key(2, 0), work::RunEndKind::Done);
+    CHECK(job.state() == work::JobState::Completed);
 }
 
-TEST_CASE_METHOD(JobFixture, "record_ofAJobThatIsOver_keepsItsStateAndTakesNoRuns")
+TEST_CASE_METHOD(JobFixture, "record_ofFullyEndedJob_keepsItsStateAndAcceptsNoRuns")
 {
     this->spec.steps.push_back(step(2));
-    Job made = this->job();
-    made.place(key(0, 0), 1, {"w1"}, 1000);
-    run(made, key(0, 1), work::RunEndKind::Done);
-    made.cancel(2500);
-    // A run is under way: what is known of it is still needed.
-    CHECK(Job(made.record()).activeRunCount() == 1);
-    CHECK(made.endRun(key(0, 0), 1, {"w1"}, work::RunEndKind::Stopped, "", 2600));
-    Job again(made.record());
-    CHECK(again.state() == work::JobState::Cancelled);
-    CHECK(again.isCancelled());
-    CHECK(again.endedAtMillis() == 2500);
-    CHECK(again.record().occurrences.empty());
-    // What comes late changes it no more than the one that was never stored.
-    CHECK_FALSE(again.mayPlace(key(0, 0), 2));
-    CHECK_FALSE(again.endRun(key(0, 0), 1, {"w1"}, work::RunEndKind::Done, "", 2700));
-    again.endSupersededRun(key(0, 0), 1, work::RunEndKind::Done, 2800);
-    made.endSupersededRun(key(0, 0), 1, work::RunEndKind::Done, 2800);
-    CHECK(again.state() == made.state());
-    CHECK(again.endedAtMillis() == made.endedAtMillis());
+    Job job = this->job();
+    job.place(key(0, 0), 1, {"w1"}, 1000);
+    run(job, key(0, 1), work::RunEndKind::Done);
+    job.cancel(2500);
+    // A run is active, so that its task record is still needed.
+    CHECK(Job(job.record()).activeRunCount() == 1);
+    CHECK(job.endRun(key(0, 0), 1, {"w1"}, work::RunEndKind::Stopped, "", 2600));
+    Job restored(job.record());
+    CHECK(restored.state() == work::JobState::Cancelled);
+    CHECK(restored.isCancelled());
+    CHECK(restored.endedAtMillis() == 2500);
+    CHECK(restored.record().occurrences.empty());
+    // Late events have the same effect on the restored job as on the original: none.
+    CHECK_FALSE(restored.mayPlace(key(0, 0), 2));
+    CHECK_FALSE(restored.endRun(key(0, 0), 1, {"w1"}, work::RunEndKind::Done, "", 2700));
+    restored.endSupersededRun(key(0, 0), 1, work::RunEndKind::Done, 2800);
+    job.endSupersededRun(key(0, 0), 1, work::RunEndKind::Done, 2800);
+    CHECK(restored.state() == job.state());
+    CHECK(restored.endedAtMillis() == job.endedAtMillis());
 }
 
-TEST_CASE("problemOf_stepThatNamesALaterOne_isTold")
+TEST_CASE("validationError_ofInvalidSteps_isReported")
 {
     work::JobSpecT spec;
     CHECK_FALSE(validationError(spec).empty());
--- a/paddlepier/workload/jobrecord.cpp
+++ b/paddlepier/workload/jobrecord.cpp
@@ -1,4 +1,4 @@
-// One job of steps: as it is stored in a snapshot.
+// Conversion of a job to and from its snapshot record.
 
 #include "paddlepier/workload/job.h"
 
@@ -53,7 +53,7 @@
     return work::CreateJobFailure(builder, failure.reason, task, builder.CreateVectorOfStrings(failure.lostWorkers));
 }
 
-/** Only tasks that differ from a new one are stored. */
+/** Stores only tasks that differ from their initial state. */
 flatbuffers::Offset<work::StepRecord> packStep(flatbuffers::FlatBufferBuilder &builder, const Step &step)
 {
     std::vector<flatbuffers::Offset<work::TaskRecord>> tasks;
@@ -95,15 +95,15 @@
 {
     flatbuffers::FlatBufferBuilder builder;
     builder.Finish(this->pack(builder));
-    work::JobRecordT made;
-    flatbuffers::GetRoot<work::JobRecord>(builder.GetBufferPointer())->UnPackTo(&made);
-    return made;
+    work::JobRecordT table;
+    flatbuffers::GetRoot<work::JobRecord>(builder.GetBufferPointer())->UnPackTo(&table);
+    return table;
 }
 
 flatbuffers::Offset<work::JobRecord> Job::pack(flatbuffers::FlatBufferBuilder &builder) const
 {
     std::vector<flatbuffers::Offset<work::OccurrenceRecord>> occurrences;
-    // Of a job that is over only what its users may ask for is needed.
+    // The tasks of a fully ended job are left out: only the fields that users can query are still needed.
     for (std::size_t number = 0; !this->isFullyEnded() && number < this->occurrenceList.size(); ++number) {
         std::vector<flatbuffers::Offset<work::StepRecord>> steps;
         for (const Step &step : this->occurrenceList[number].steps) {
--- a/paddlepier/workload/losses.cpp
+++ b/paddlepier/workload/losses.cpp
@@ -1,9 +1,9 @@
-// A region's workload as a replicated state machine: workers that are lost, and the tasks that may have been the cause.
+// Workload: loss of workers, and tracking of the tasks that may have caused it.
 //
-// A worker that says so before it leaves says nothing about its tasks. One that crashes counts as a loss for each task that
-// ran there, since any of them may have been the cause; that a rack or a data centre went shows only later, by the tasks'
-// running elsewhere. A worker whose lease has run out may be lost or cut off: its tasks are in doubt until it answers again, or its
-// end is known.
+// A worker that announces its departure is not a loss. One that crashes counts as a loss for each task that ran there, since any of them
+// may have been the cause. The failure of a rack or a data centre looks the same at that time; it shows later, when the tasks run
+// normally elsewhere. A worker whose lease has expired may be lost or partitioned: the losses of its tasks stay unconfirmed until it
+// responds again or is removed.
 
 #include "paddlepier/workload/workload.h"
 
@@ -24,14 +24,14 @@
 
 Outcome Workload::removeWorker(const work::RemoveWorkerT &command)
 {
-    const Incarnation life{command.id, command.born};
-    const auto found = this->workerByIncarnation.find(life);
+    const Incarnation incarnation{command.id, command.born};
+    const auto found = this->workerByIncarnation.find(incarnation);
     if (found == this->workerByIncarnation.end()) {
         return {};
     }
     Outcome outcome;
     for (const auto &run : command.moved) {
-        this->moveRun(life, {command.id, command.nextBorn}, *run);
+        this->moveRun(incarnation, {command.id, command.nextBorn}, *run);
     }
     const std::set<TaskKey> lost = found->second.runs;
     if (command.end != work::LifeEnd::Left) {
@@ -43,7 +43,7 @@
         end.task = key.record();
         end.run = this->jobById.at(key.job).task(key).lastRun;
         end.kind = work::RunEndKind::WorkerLost;
-        if (this->endRun(life, end)) {
+        if (this->endRun(incarnation, end)) {
             outcome.abandonedTasks.push_back(key);
         }
     }
@@ -51,25 +51,25 @@
         this->removeSuperseded(found->second, found->second.superseded.begin()->first);
     }
     this->unindexWorker(found->second.registration);
-    this->workerByIncarnation.erase(life);
+    this->workerByIncarnation.erase(incarnation);
     return outcome;
 }
 
 std::vector<TaskKey> Workload::recordLosses(const Worker &worker, const work::RemoveWorkerT &command)
 {
-    // Nothing is placed beside a task that has to prove itself, so that one just started is the cause if it's the only suspect.
+    // Suspects are started in isolation, so that a suspect that had just been started is the cause if it is the only one.
     const auto isSuspect = [this](const std::unique_ptr<work::RunEndT> &run) {
         return run->atLoss == work::RunAtLoss::Fresh && this->suspectTasks.contains(TaskKey(*run->task));
     };
     const bool hasOneSuspect = std::count_if(command.lost.begin(), command.lost.end(), isSuspect) == 1;
-    std::vector<TaskKey> givenUp;
-    const auto count = [&](const TaskKey &key, bool isFresh, bool isOnlySuspect) {
+    std::vector<TaskKey> abandonedTasks;
+    const auto recordLoss = [&](const TaskKey &key, bool isFresh, bool isOnlySuspect) {
         const auto job = this->jobById.find(key.job);
         if (job == this->jobById.end()) {
             return;
         }
         if (job->second.recordLoss(key, incarnationOf(worker.registration), isFresh, isOnlySuspect, this->appliedAt)) {
-            givenUp.push_back(key);
+            abandonedTasks.push_back(key);
         }
         this->updateSuspect(key);
         this->updateJobIndexes(job->second);
@@ -81,15 +81,15 @@
         }
         if (isCounted(run->atLoss)) {
             const bool isFresh = run->atLoss == work::RunAtLoss::Fresh;
-            count(key, isFresh, isFresh && hasOneSuspect);
+            recordLoss(key, isFresh, isFresh && hasOneSuspect);
         } else if (run->atLoss == work::RunAtLoss::Settled) {
             this->clearLosses(key);
         }
     }
     for (const TaskKey &key : worker.expiredLeases) {
-        count(key, false, false);
+        recordLoss(key, false, false);
     }
-    return givenUp;
+    return abandonedTasks;
 }
 
 void Workload::recordExpiredLease(Worker &worker, const TaskKey &key, work::RunAtLoss atLoss)
@@ -128,8 +128,8 @@
 void Workload::updateSuspect(const TaskKey &key)
 {
     const Job &job = this->jobById.at(key.job);
-    const bool isOpen = !job.hasEnded() && job.hasTask(key) && !job.task(key).isDone;
-    if (isOpen && job.task(key).possibleLosses() > 0) {
+    const bool isUnfinished = !job.hasEnded() && job.hasTask(key) && !job.task(key).isDone;
+    if (isUnfinished && job.task(key).possibleLosses() > 0) {
         this->suspectTasks.insert(key);
     } else {
         this->suspectTasks.erase(key);
--- a/paddlepier/workload/taskkey.h
+++ b/paddlepier/workload/taskkey.h
@@ -1,4 +1,4 @@
-// Name of one task: job, occurrence, step and index, each counting from 0.
+// Key of one task: job id, occurrence, step and index. The numbers count from 0.
 //
 // Thread safety: plain values.
 
@@ -80,12 +80,12 @@
 
     std::unique_ptr<work::TaskKeyT> record() const
     {
-        auto made = std::make_unique<work::TaskKeyT>();
-        made->job = this->job;
-        made->occurrence = this->occurrence;
-        made->step = this->step;
-        made->index = this->index;
-        return made;
+        auto table = std::make_unique<work::TaskKeyT>();
+        table->job = this->job;
+        table->occurrence = this->occurrence;
+        table->step = this->step;
+        table->index = this->index;
+        return table;
     }
 
     flatbuffers::Offset<work::TaskKey> pack(flatbuffers::FlatBufferBuilder &builder) const
--- a/paddlepier/workload/teams.cpp
+++ b/paddlepier/workload/teams.cpp
@@ -1,4 +1,4 @@
-// Teams of the configuration.
+// Teams of the configuration and their quota usage.
 
 #include "paddlepier/workload/teams.h"
 
@@ -15,22 +15,22 @@
 
 constexpr std::int64_t unlimited = std::numeric_limits<std::int64_t>::max();
 
-std::int64_t leftOf(std::uint64_t quota, std::uint64_t used)
+std::int64_t headroomPart(std::uint64_t quota, std::uint64_t used)
 {
     return quota == 0 ? unlimited : static_cast<std::int64_t>(quota) - static_cast<std::int64_t>(used);
 }
 
-std::size_t timesIn(std::int64_t left, std::uint32_t each)
+std::size_t tasksWithin(std::int64_t remaining, std::uint32_t perTask)
 {
-    if (each == 0 || left == unlimited) {
+    if (perTask == 0 || remaining == unlimited) {
         return std::numeric_limits<std::size_t>::max();
     }
-    return static_cast<std::size_t>(std::max<std::int64_t>(0, left) / each);
+    return static_cast<std::size_t>(std::max<std::int64_t>(0, remaining) / perTask);
 }
 
-void takeFrom(std::int64_t &left, std::uint32_t each, std::size_t tasks)
+void subtract(std::int64_t &remaining, std::uint32_t perTask, std::size_t tasks)
 {
-    left -= left == unlimited ? 0 : static_cast<std::int64_t>(each) * static_cast<std::int64_t>(tasks);
+    remaining -= remaining == unlimited ? 0 : static_cast<std::int64_t>(perTask) * static_cast<std::int64_t>(tasks);
 }
 
 } // namespace
@@ -46,9 +46,9 @@
 }
 
 QuotaHeadroom::QuotaHeadroom(const work::Quota &quota, const work::Quota &used)
-    : milliProcessors(leftOf(quota.milliProcessors(), used.milliProcessors()))
-    , memoryMegabytes(leftOf(quota.memoryMegabytes(), used.memoryMegabytes()))
-    , accelerators(leftOf(quota.accelerators(), used.accelerators()))
+    : milliProcessors(headroomPart(quota.milliProcessors(), used.milliProcessors()))
+    , memoryMegabytes(headroomPart(quota.memoryMegabytes(), used.memoryMegabytes()))
+    , accelerators(headroomPart(quota.accelerators(), used.accelerators()))
 {
 }
 
@@ -60,17 +60,17 @@
 std::size_t QuotaHeadroom::tasksThatFit(const work::StepSpecT &step) const
 {
     const work::Demand demand = quotaDemandOf(step);
-    return std::min({timesIn(this->milliProcessors, demand.milliProcessors()),
-                     timesIn(this->memoryMegabytes, demand.memoryMegabytes()),
-                     timesIn(this->accelerators, demand.accelerators())});
+    return std::min({tasksWithin(this->milliProcessors, demand.milliProcessors()),
+                     tasksWithin(this->memoryMegabytes, demand.memoryMegabytes()),
+                     tasksWithin(this->accelerators, demand.accelerators())});
 }
 
 void QuotaHeadroom::reserve(const work::StepSpecT &step, std::size_t tasks)
 {
     const work::Demand demand = quotaDemandOf(step);
-    takeFrom(this->milliProcessors, demand.milliProcessors(), tasks);
-    takeFrom(this->memoryMegabytes, demand.memoryMegabytes(), tasks);
-    takeFrom(this->accelerators, demand.accelerators(), tasks);
+    subtract(this->milliProcessors, demand.milliProcessors(), tasks);
+    subtract(this->memoryMegabytes, demand.memoryMegabytes(), tasks);
+    subtract(this->accelerators, demand.accelerators(), tasks);
 }
 
 bool QuotaHeadroom::isExceeded() const
@@ -124,14 +124,14 @@
         return;
     }
     const auto change = static_cast<std::uint64_t>(static_cast<std::int64_t>(sign));
-    const work::Quota before = this->usageOf(team);
-    const work::Quota after(before.milliProcessors() + change * demand.milliProcessors(),
-                            before.memoryMegabytes() + change * demand.memoryMegabytes(),
-                            before.accelerators() + change * demand.accelerators());
-    if (after.milliProcessors() == 0 && after.memoryMegabytes() == 0 && after.accelerators() == 0) {
+    const work::Quota previous = this->usageOf(team);
+    const work::Quota updated(previous.milliProcessors() + change * demand.milliProcessors(),
+                              previous.memoryMegabytes() + change * demand.memoryMegabytes(),
+                              previous.accelerators() + change * demand.accelerators());
+    if (updated.milliProcessors() == 0 && updated.memoryMegabytes() == 0 && updated.accelerators() == 0) {
         this->usageByTeam.erase(team);
     } else {
-        this->usageByTeam[team] = after;
+        this->usageByTeam[team] = updated;
     }
 }
 
--- a/paddlepier/workload/teams.h
+++ b/paddlepier/workload/teams.h
@@ -1,13 +1,12 @@
-// Teams of the configuration: whose key is whose, and how much of each team's quota its runs take.
+// Teams of the configuration: maps keys to teams and tracks how much of each team's quota its runs use.
 //
-// Every run of a team counts towards its quota from the entry that places it to the one that records its end, and so does a
-// superseded run that may still be under way. A quota that is lowered below what a team has placed ends nothing: the team gets
-// no new run until enough of its runs have ended.
+// A run counts towards its team's quota from the log entry that places it to the one that records its end; a superseded run that may still
+// be active counts as well. Lowering a quota below a team's usage stops no run: the team gets no new run until enough of its runs have ended.
 //
-// Keys are secrets. They are held only to be compared, and no message names one.
+// Keys are secrets. They are stored only for comparison and appear in no message.
 //
 // Example:
-//     if (teams.roomOf(job.team()).fits(step)) { teams.take(job.team(), quotaDemandOf(step)); }
+//     if (teams.headroomOf(job.team()).fits(step)) { teams.reserve(job.team(), quotaDemandOf(step)); }
 //
 // Thread safety: none; owned by the ledger. Cost: findByKey() is O(1), the rest O(log teams).
 
@@ -27,21 +26,21 @@
 namespace paddlepier::workload
 {
 
-/** What a task counts towards its team's quota. A filling task counts its processors, though no worker reserves them. */
+/** Quota that one task of @p step uses. A filling task counts its processors too, although workers don't reserve them. */
 work::Demand quotaDemandOf(const work::StepSpecT &step);
 
-/** What is left of a quota; may be overdrawn. */
+/** Unused part of a quota; negative where usage exceeds a quota that was lowered. */
 class QuotaHeadroom
 {
 public:
-    /** Without a limit. */
+    /** Unlimited. */
     QuotaHeadroom();
     QuotaHeadroom(const work::Quota &quota, const work::Quota &used);
 
     bool fits(const work::StepSpecT &step) const;
     std::size_t tasksThatFit(const work::StepSpecT &step) const;
     void reserve(const work::StepSpecT &step, std::size_t tasks);
-    /** More is placed than the quota allows. */
+    /** Whether usage exceeds the quota. */
     bool isExceeded() const;
 
 private:
@@ -53,14 +52,14 @@
 class Teams
 {
 public:
-    /** Takes over the teams of @p configuration; what runs take stays counted. */
+    /** Replaces teams, keys and quotas by those of @p configuration; the usage of runs is retained. */
     void configure(const work::ChangeConfigurationT &configuration);
 
-    /** Name of the team that has @p key; null if none has. */
+    /** Name of the team that owns @p key; null if there is none. */
     const std::string *findByKey(std::string_view key) const;
-    /** Without a limit for no team, and for one that the configuration doesn't name. */
+    /** Unlimited for an empty name and for a team that the configuration doesn't list. */
     QuotaHeadroom headroomOf(const std::string &team) const;
-    /** What the team's runs take. */
+    /** Quota that the team's runs use. */
     work::Quota usageOf(const std::string &team) const;
 
     void reserve(const std::string &team, const work::Demand &demand);
@@ -71,7 +70,7 @@
 
     std::map<std::string, work::Quota> quotas;
     absl::flat_hash_map<std::string, std::string> teamByKey;
-    /** Of teams with runs, those included that the configuration names no longer. Invariant: no entry is 0 in all its parts. */
+    /** Of all teams with runs, including those no longer in the configuration. Invariant: each entry has a part that is not 0. */
     std::map<std::string, work::Quota> usageByTeam;
 };
 
--- a/paddlepier/workload/teams_test.cpp
+++ b/paddlepier/workload/teams_test.cpp
@@ -1,4 +1,4 @@
-// Teams in a region's workload: whose key is whose, and that no placement goes over a team's quota.
+// Teams of a workload: keys identify their team, and no placement exceeds a team's quota.
 
 #include "paddlepier/base/error.h"
 #include "paddlepier/workload/applycommand.h"
@@ -81,7 +81,7 @@
         this->apply(std::move(job));
     }
 
-    /** Proposes a next run of each of the first @p tasks tasks. @return how many were taken */
+    /** Proposes the next run of @p tasks tasks from index @p first on. @return the number of accepted placements */
     std::size_t place(const std::string &job, std::uint32_t tasks, const std::string &worker = "w1", std::uint32_t first = 0)
     {
         work::PlaceRunsT command;
@@ -116,11 +116,11 @@
     std::uint64_t version = 0;
 };
 
-/** What the runs and superseded runs of all workers take, by team. */
-std::map<std::string, std::uint64_t> countedAnew(const Workload &state)
+/** Processors used by the runs and superseded runs of all workers, by team. */
+std::map<std::string, std::uint64_t> recountedUsage(const Workload &state)
 {
     std::map<std::string, std::uint64_t> counted;
-    for (const auto &[life, worker] : state.workers()) {
+    for (const auto &[incarnation, worker] : state.workers()) {
         for (const TaskKey &key : worker.runs) {
             const Job &job = *state.findJob(key.job);
             counted[job.team()] += job.stepSpec(key.step).demand->milliProcessors();
@@ -134,7 +134,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(TeamsFixture, "placement_beyondItsTeamsQuota_isRefused")
+TEST_CASE_METHOD(TeamsFixture, "placement_exceedingTeamQuota_isRefused")
 {
     this->submit("a", "red", 5);
     CHECK(this->place("a", 5) == 3);
@@ -149,7 +149,7 @@
     CHECK(this->place("b", 1, "w2") == 1);
 }
 
-TEST_CASE_METHOD(TeamsFixture, "gang_thatGoesOverItsTeamsQuota_isRefusedAsAWhole")
+TEST_CASE_METHOD(TeamsFixture, "gang_exceedingTeamQuota_isRefusedCompletely")
 {
     this->submit("a", "red", 4, true);
     CHECK(this->place("a", 4) == 0);
@@ -158,14 +158,14 @@
     CHECK(this->place("b", 3) == 3);
 }
 
-TEST_CASE_METHOD(TeamsFixture, "fillingTask_countsItsProcessorsTowardsTheQuota")
+TEST_CASE_METHOD(TeamsFixture, "fillingTask_whenPlaced_countsItsProcessorsTowardsQuota")
 {
     this->submit("a", "red", 5, false, true);
     CHECK(this->place("a", 5) == 3);
     CHECK(this->state.findWorker({"w1"})->reservedMilliProcessors == 0);
 }
 
-TEST_CASE_METHOD(TeamsFixture, "quotaLoweredBelowUse_allowsNothingUntilEnoughHasEnded")
+TEST_CASE_METHOD(TeamsFixture, "quota_loweredBelowUsage_refusesPlacementsUntilEnoughRunsEnd")
 {
     this->submit("a", "red", 4);
     REQUIRE(this->place("a", 3) == 3);
@@ -178,14 +178,14 @@
     CHECK(this->place("a", 1, "w1", 3) == 1);
 }
 
-TEST_CASE_METHOD(TeamsFixture, "supersededRun_countsUntilItsEndIsKnown")
+TEST_CASE_METHOD(TeamsFixture, "supersededRun_withUnconfirmedEnd_countsTowardsQuota")
 {
     this->submit("a", "red", 4);
     REQUIRE(this->place("a", 3) == 3);
     this->end("a", 0, work::RunEndKind::Superseded);
     CHECK(this->used("red") == 3000);
     CHECK(this->place("a", 1, "w2") == 0);
-    SECTION("whose worker is lost")
+    SECTION("worker lost")
     {
         work::RemoveWorkerT command;
         command.id = "w1";
@@ -194,7 +194,7 @@
         CHECK(this->used("red") == 0);
         CHECK(this->place("a", 3, "w2") == 3);
     }
-    SECTION("in a snapshot")
+    SECTION("restored from a snapshot")
     {
         Workload again;
         again.restore(this->state.snapshot());
@@ -204,7 +204,7 @@
     }
 }
 
-TEST_CASE_METHOD(TeamsFixture, "teamThatIsDropped_keepsItsJobsAndHasNoLimit")
+TEST_CASE_METHOD(TeamsFixture, "team_removedFromConfiguration_keepsItsJobsWithoutLimit")
 {
     this->submit("a", "red", 5);
     REQUIRE(this->place("a", 3) == 3);
@@ -215,7 +215,7 @@
     CHECK(this->state.teams().headroomOf("red").isExceeded());
 }
 
-TEST_CASE_METHOD(TeamsFixture, "key_thatMovesToAnotherTeam_speaksForThatOneAlone")
+TEST_CASE_METHOD(TeamsFixture, "key_movedToAnotherTeam_identifiesOnlyThatTeam")
 {
     REQUIRE(*this->state.teams().findByKey("key-b2") == "blue");
     this->configure({{"red", {"key-r", "key-b2"}, {}}, {"blue", {"key-b1"}, {}}});
@@ -227,14 +227,14 @@
     CHECK(*again.teams().findByKey("key-b2") == "red");
 }
 
-TEST_CASE_METHOD(TeamsFixture, "configuration_withTeamsThatContradict_isRefusedWithoutNamingAKey")
+TEST_CASE_METHOD(TeamsFixture, "configuration_withInconsistentTeams_isRefusedWithoutNamingAKey")
 {
-    const std::vector<std::vector<TeamOf>> wrong{{{"red", {"secret"}, {}}, {"blue", {"secret"}, {}}},
-                                                 {{"red", {"secret", "secret"}, {}}},
-                                                 {{"red", {"secret", ""}, {}}},
-                                                 {{"", {"secret"}, {}}},
-                                                 {{"red", {"secret"}, {}}, {"red", {"other"}, {}}}};
-    for (const std::vector<TeamOf> &teams : wrong) {
+    const std::vector<std::vector<TeamOf>> invalidTeams{{{"red", {"secret"}, {}}, {"blue", {"secret"}, {}}},
+                                                        {{"red", {"secret", "secret"}, {}}},
+                                                        {{"red", {"secret", ""}, {}}},
+                                                        {{"", {"secret"}, {}}},
+                                                        {{"red", {"secret"}, {}}, {"red", {"other"}, {}}}};
+    for (const std::vector<TeamOf> &teams : invalidTeams) {
         work::ChangeConfigurationT configuration = configurationOf(teams, 9);
         configuration.queues.clear();
         try {
@@ -246,9 +246,9 @@
     }
 }
 
-TEST_CASE("usedQuotas_afterAnyCommands_areThoseOfTheRuns", "[proof][fuzz]")
+TEST_CASE("quotaUsage_afterAnyCommands_matchesActiveRuns", "[proof][fuzz]")
 {
-    const bool holds = rc::check("what a team has placed is counted as its runs are, and stays within its quota", [] {
+    const bool holds = rc::check("the usage of a team equals that of its runs, and placements stay within its quota", [] {
         TeamsFixture fixture;
         std::mt19937 random(*rc::gen::arbitrary<std::uint32_t>());
         std::vector<std::string> jobs;
@@ -278,7 +278,7 @@
                 again.restore(fixture.state.snapshot());
                 RC_ASSERT(again.teams().usageOf("red").milliProcessors() == fixture.used("red"));
             }
-            const std::map<std::string, std::uint64_t> counted = countedAnew(fixture.state);
+            const std::map<std::string, std::uint64_t> counted = recountedUsage(fixture.state);
             for (const char *team : {"red", "blue"}) {
                 RC_ASSERT(fixture.used(team) == (counted.contains(team) ? counted.at(team) : 0));
             }
--- a/paddlepier/workload/worker.cpp
+++ b/paddlepier/workload/worker.cpp
@@ -1,4 +1,4 @@
-// One life of a worker in the ledger.
+// One incarnation of a worker in the ledger.
 
 #include "paddlepier/workload/worker.h"
 
--- a/paddlepier/workload/worker.h
+++ b/paddlepier/workload/worker.h
@@ -1,7 +1,7 @@
-// One life of a worker in the ledger: how it announced itself, what runs there, and the room that this takes.
+// One incarnation of a worker in the ledger: its registration, its runs, and the capacity that they reserve.
 //
 // Example:
-//     if (worker.hasRoomFor(step)) { worker.addRun(key, step); }
+//     if (worker.hasCapacityFor(step)) { worker.addRun(key, step); }
 //
 // Thread safety: none; owned by the ledger. Cost: O(log runs) each.
 
@@ -20,51 +20,51 @@
 namespace paddlepier::workload
 {
 
-/** Room that a task takes; what fills uses processors that others leave. */
+/** Capacity that one task of @p step reserves on a worker. Filling tasks reserve no processors, since they only use idle ones. */
 work::Demand demandOf(const work::StepSpecT &step);
 
-/** Both tell the same of a worker's address, service, machine, labels and room, and of whether it drains; nothing else is compared. */
+/** Compares address, service, machine, labels, capacity and draining state; the other fields are ignored. */
 bool isSameRegistration(const work::RegisterWorkerT &left, const work::RegisterWorkerT &right);
 
-/** A run that was superseded by a copy of its task elsewhere, while it isn't known whether it is still under way. */
+/** A run on an unresponsive worker that was superseded by a copy of its task elsewhere; it may still be active until its end is confirmed. */
 struct SupersededRun {
     std::uint32_t run = 0;
-    /** Room that it may still take. */
+    /** Capacity that stays reserved for it. */
     work::Demand demand;
-    /** Team whose quota it takes; empty if none. */
+    /** Team whose quota it counts towards; empty if none. */
     std::string team = {};
     work::Demand quotaDemand = {};
 };
 
-/** One life of a worker. */
+/** State of one incarnation of a worker. */
 struct Worker {
     work::RegisterWorkerT registration;
-    /** Newest end that is recorded; the worker may forget ends up to it. */
+    /** Sequence number of the newest recorded end; the worker may discard ends up to it. */
     std::uint64_t lastSequence = 0;
-    /** Runs that may be under way there. */
+    /** Tasks whose current run may be active on this worker. */
     std::set<TaskKey> runs;
     /** Invariant: no task is in both `runs` and `superseded`. */
     std::map<TaskKey, SupersededRun> superseded;
-    /** Tasks whose run here was given up with its lease, while it isn't known whether the worker is lost or cut off. */
+    /** Tasks whose run here ended with an expired lease, while the worker may be lost or merely partitioned. */
     std::set<TaskKey> expiredLeases;
     std::uint64_t reservedMilliProcessors = 0;
     std::uint64_t reservedMemoryMegabytes = 0;
     std::uint64_t reservedAccelerators = 0;
-    /** Of `runs`: those that owe their users a latency, and those that may disturb them. */
+    /** Of `runs`: those with a latency target, and the filling ones, which may interfere with them. */
     std::uint32_t servingRuns = 0;
     std::uint32_t fillingRuns = 0;
-    /** Of `runs`: those whose end costs more than their own work: of lasting steps, and of gangs. */
+    /** Of `runs`: those of lasting steps and of gangs, whose loss affects more than their own work. */
     std::uint32_t costlyRuns = 0;
 
     bool hasCapacityFor(const work::StepSpecT &step) const;
-    /** It has promised more room than it has: the room has shrunk since. Starts that wait would make that worse. */
+    /** Whether reservations exceed the capacity, because the worker has announced a smaller one since. Pending starts would add to the excess. */
     bool isOvercommitted() const;
     std::int64_t freeMilliProcessors() const;
     bool hasLabel(std::string_view label) const;
 
-    /** A run is there from now on, and takes its room. */
+    /** Adds a run and reserves its capacity. */
     void addRun(const TaskKey &key, const work::StepSpecT &step);
-    /** It is over; its room comes back. @return false if there was none */
+    /** Removes a run and releases its capacity. @return false if there is no such run */
     bool removeRun(const TaskKey &key, const work::StepSpecT &step);
     void addSuperseded(const TaskKey &key, const SupersededRun &run);
     void removeSuperseded(const TaskKey &key);
--- a/paddlepier/workload/workers.cpp
+++ b/paddlepier/workload/workers.cpp
@@ -1,4 +1,4 @@
-// A region's workload as a replicated state machine: its workers, how they are found, and which data centres are evacuated.
+// Workload: registration and lookup of workers, and evacuation of data centres.
 
 #include "paddlepier/workload/workload.h"
 
@@ -10,14 +10,14 @@
 
 Outcome Workload::registerWorker(const work::RegisterWorkerT &command)
 {
-    const Incarnation life = incarnationOf(command);
+    const Incarnation incarnation = incarnationOf(command);
     const Worker *latest = this->findLatestWorker(command.id);
-    // Of a life that is over: its worker has started again since.
-    if (latest != nullptr && incarnationOf(latest->registration).isAfter(life)) {
+    // Announced by an earlier incarnation: the worker has restarted since.
+    if (latest != nullptr && incarnationOf(latest->registration).isAfter(incarnation)) {
         return {};
     }
-    Worker &worker = this->workerByIncarnation[life];
-    // Held up on its way: a later announcement, of a smaller room perhaps, is in force.
+    Worker &worker = this->workerByIncarnation[incarnation];
+    // Delayed announcement: a later one, perhaps with a smaller capacity, is already in effect.
     if (command.sequence < worker.registration.sequence) {
         return {};
     }
@@ -38,21 +38,21 @@
 
 void Workload::unindexWorker(const work::RegisterWorkerT &registration)
 {
-    const auto drop = [life = incarnationOf(registration)](auto &index, const std::string &name) {
+    const auto removeFrom = [incarnation = incarnationOf(registration)](auto &index, const std::string &name) {
         const auto found = index.find(name);
-        if (found != index.end() && found->second.erase(life) > 0 && found->second.empty()) {
+        if (found != index.end() && found->second.erase(incarnation) > 0 && found->second.empty()) {
             index.erase(found);
         }
     };
-    drop(this->incarnationsByAddress, registration.address);
-    drop(this->incarnationsByMachine, registration.machine);
+    removeFrom(this->incarnationsByAddress, registration.address);
+    removeFrom(this->incarnationsByMachine, registration.machine);
     this->workerChangeLog.record(incarnationOf(registration));
 }
 
 Outcome Workload::changeEvacuation(const work::ChangeEvacuationT &command)
 {
     if (command.dataCentre.empty()) {
-        return failure(ErrorCode::InvalidArgument, "an evacuation without a data centre");
+        return failure(ErrorCode::InvalidArgument, "dataCentre: empty, expected the name of the data centre to evacuate");
     }
     if (command.isEvacuated) {
         this->evacuated.insert(command.dataCentre);
@@ -63,9 +63,9 @@
     return {};
 }
 
-const Worker *Workload::findWorker(const Incarnation &life) const
+const Worker *Workload::findWorker(const Incarnation &incarnation) const
 {
-    const auto found = this->workerByIncarnation.find(life);
+    const auto found = this->workerByIncarnation.find(incarnation);
     return found == this->workerByIncarnation.end() ? nullptr : &found->second;
 }
 
--- a/paddlepier/workload/workload.cpp
+++ b/paddlepier/workload/workload.cpp
@@ -1,4 +1,4 @@
-// A region's workload as a replicated state machine.
+// Workload: application of commands, and queries of the state.
 
 #include "paddlepier/workload/workload.h"
 
@@ -59,7 +59,7 @@
     case work::Command::NONE:
         break;
     }
-    return failure(ErrorCode::Internal, "an entry without a command");
+    return failure(ErrorCode::Internal, "log entry without a command");
 }
 
 bool Workload::hasHistory() const
@@ -70,9 +70,9 @@
 Outcome Workload::changeConfiguration(const work::ChangeConfigurationT &command)
 {
     if (command.version == this->currentConfiguration.version && command.text != this->currentConfiguration.text) {
-        return failure(ErrorCode::Conflict, absl::StrCat("version ", command.version, " is held with another content"));
+        return failure(ErrorCode::Conflict, absl::StrCat("version ", command.version, " already exists with different content"));
     }
-    // A version that isn't higher is acknowledged and changes nothing.
+    // A version that is not higher than the current one is acknowledged without effect.
     if (command.version > this->currentConfiguration.version) {
         this->currentConfiguration = command;
         this->teamQuotas.configure(command);
@@ -89,7 +89,7 @@
     const auto &queues = this->currentConfiguration.queues;
     const auto queue = std::find_if(queues.begin(), queues.end(), [&](const auto &candidate) { return candidate->name == command.queue; });
     if (queue == queues.end()) {
-        return failure(ErrorCode::UnknownRoute, absl::StrCat("no queue ", command.queue));
+        return failure(ErrorCode::UnknownRoute, absl::StrCat("unknown queue ", command.queue));
     }
     const auto added = this->jobById.emplace(command.id, Job(command.id, **queue, *command.spec, this->appliedAt, command.team)).first;
     this->updateJobIndexes(added->second);
@@ -100,7 +100,7 @@
 {
     const auto found = this->jobById.find(command.id);
     if (found == this->jobById.end()) {
-        return failure(ErrorCode::UnknownJob, absl::StrCat("no job ", command.id));
+        return failure(ErrorCode::UnknownJob, absl::StrCat("unknown job ", command.id));
     }
     found->second.cancel(this->appliedAt);
     this->updateJobIndexes(found->second);
@@ -126,12 +126,12 @@
     Outcome outcome;
     for (std::size_t begin = 0; begin < command.placements.size();) {
         const std::size_t length = this->atomicGroupLength(command.placements, begin);
-        std::size_t taken = 0;
-        while (taken < length && this->placeRun(*command.placements[begin + taken])) {
-            ++taken;
+        std::size_t accepted = 0;
+        while (accepted < length && this->placeRun(*command.placements[begin + accepted])) {
+            ++accepted;
         }
-        for (std::size_t index = begin; index < begin + taken; ++index) {
-            if (taken < length) {
+        for (std::size_t index = begin; index < begin + accepted; ++index) {
+            if (accepted < length) {
                 this->undoPlacement(*command.placements[index]);
             } else {
                 outcome.placed.push_back(*command.placements[index]);
@@ -213,23 +213,23 @@
 
 Outcome Workload::recordEnds(const work::RecordEndsT &command)
 {
-    const Incarnation life{command.worker, command.born};
-    const auto worker = this->workerByIncarnation.find(life);
+    const Incarnation incarnation{command.worker, command.born};
+    const auto worker = this->workerByIncarnation.find(incarnation);
     if (command.hasAnswered && worker != this->workerByIncarnation.end()) {
         this->resolveExpiredLeases(worker->second);
     }
     Outcome outcome;
     for (const auto &end : command.ends) {
-        if (this->endRun(life, *end)) {
+        if (this->endRun(incarnation, *end)) {
             outcome.abandonedTasks.emplace_back(*end->task);
         }
     }
     return outcome;
 }
 
-bool Workload::endRun(const Incarnation &life, const work::RunEndT &end)
+bool Workload::endRun(const Incarnation &incarnation, const work::RunEndT &end)
 {
-    const auto worker = this->workerByIncarnation.find(life);
+    const auto worker = this->workerByIncarnation.find(incarnation);
     if (worker != this->workerByIncarnation.end()) {
         worker->second.lastSequence = std::max(worker->second.lastSequence, end.sequence);
     }
@@ -239,7 +239,7 @@
     }
     const auto job = this->jobById.find(key.job);
     const bool hadEnded = job == this->jobById.end() || job->second.hasEnded();
-    if (job == this->jobById.end() || !job->second.endRun(key, end.run, life, end.kind, end.checkpoint, this->appliedAt)) {
+    if (job == this->jobById.end() || !job->second.endRun(key, end.run, incarnation, end.kind, end.checkpoint, this->appliedAt)) {
         return false;
     }
     if (worker != this->workerByIncarnation.end() && this->releaseCapacity(worker->second, job->second, key)) {
@@ -268,7 +268,7 @@
         return;
     }
     this->releaseCapacity(source->second, job->second, key);
-    // It is there already, whether there is room or not.
+    // The run is already on that worker: it is counted even if it exceeds the free capacity.
     this->reserveCapacity(target->second, job->second, key);
 }
 
--- a/paddlepier/workload/workload.h
+++ b/paddlepier/workload/workload.h
@@ -1,15 +1,15 @@
-// A region's workload: configuration, jobs, workers' lives and the runs between them, as a replicated state machine.
+// Replicated state machine of a region's workload: configuration, jobs, worker incarnations, and the runs that connect them.
 //
-// A placement reserves room on its worker in the same entry that names it, so that no two decisions can fill the same
-// room. Room is given back by the recorded end of the run and by nothing else. The same holds for a team's quota: a placement
-// that would go over it is refused, whatever the planner thought. An accepted configuration's version only rises; another
-// content under the version held is refused. No placement is taken on workers of an evacuated data centre; what runs there goes on.
+// A placement reserves capacity on its worker in the same log entry that records it, so that two decisions can't use the same capacity.
+// Only the recorded end of a run releases it. Team quotas are enforced in the same way: a placement that would exceed the quota is refused,
+// even if the planner allowed it. The version of the accepted configuration only increases; different content under the current version is
+// refused. Placements on workers of an evacuated data centre are refused; runs that are already there continue.
 //
 // Example:
 //     Workload workload;
 //     const Outcome outcome = workload.apply(wire::pack(entry));
 //
-// Thread safety: none; owned by the control thread. apply() costs O(log n) for each task that it names.
+// Thread safety: none; owned by the control thread. Cost: apply() is O(log n) per task in the command.
 
 #ifndef PADDLEPIER_WORKLOAD_WORKLOAD_H
 #define PADDLEPIER_WORKLOAD_WORKLOAD_H
@@ -35,16 +35,16 @@
 namespace paddlepier::workload
 {
 
-/** Ended jobs are kept this long; the users ask for two minutes, the rest is for clocks that differ. */
+/** Retention of ended jobs: users require two minutes; the remaining 30 s allow for clock differences. */
 constexpr std::int64_t jobRetentionMillis = 150'000;
 
-/** Outcome of one command. */
+/** Result of applying one command. */
 struct Outcome {
     ErrorCode error = ErrorCode::None;
     std::string message;
-    /** Of PlaceRuns: what was taken. */
+    /** For PlaceRuns: the accepted placements. */
     std::vector<work::PlacementT> placed;
-    /** Of RemoveWorker and RecordEnds: tasks that are given up since worker after worker was lost under them. */
+    /** For RemoveWorker and RecordEnds: tasks that were abandoned, with their jobs, because of repeated worker losses. */
     std::vector<TaskKey> abandonedTasks;
 };
 
@@ -61,32 +61,32 @@
     bool hasHistory() const;
     static Outcome failure(ErrorCode error, const std::string &message);
 
-    /** Version 0 before the first. */
+    /** Version 0 until a configuration is accepted. */
     const work::ChangeConfigurationT &configuration() const;
-    /** Queue of the longest prefix that @p path begins with; null if there is none. */
+    /** Queue of @p host with the longest path prefix that matches @p path; null if none matches. */
     const work::QueueSpecT *findQueue(std::string_view host, std::string_view path) const;
     const work::ServiceSpecT *findService(std::string_view name) const;
     const Teams &teams() const;
     const Job *findJob(const std::string &id) const;
-    const Worker *findWorker(const Incarnation &life) const;
-    /** The latest life under @p id; null if there is none. O(log workers). */
+    const Worker *findWorker(const Incarnation &incarnation) const;
+    /** Latest incarnation of the worker @p id; null if it is unknown. O(log workers). */
     const Worker *findLatestWorker(const std::string &id) const;
     const std::map<Incarnation, Worker> &workers() const;
-    /** Jobs with tasks to run or runs under way. */
+    /** Jobs that have not ended, or that have active runs. */
     const std::set<std::string> &activeJobs() const;
-    /** Of these, the ones that haven't ended and have tasks without a run. */
+    /** Of these, jobs that have not ended and have waiting tasks. */
     const std::set<std::string> &waitingJobs() const;
-    /** Tasks that aren't over and under which workers were lost, or may have been. */
+    /** Unfinished tasks with confirmed or unconfirmed worker losses. */
     const std::set<TaskKey> &suspects() const;
-    /** Data centres on whose workers nothing may be placed. */
+    /** Data centres whose workers accept no placements. */
     const std::set<std::string, std::less<>> &evacuatedDataCentres() const;
     bool isEvacuated(const Worker &worker) const;
-    /** Lives that were announced with this address, or for this machine; O(log workers). */
+    /** Incarnations registered with this address, or on this machine; O(log workers). */
     const std::set<Incarnation> &incarnationsAtAddress(const std::string &address) const;
     const std::set<Incarnation> &incarnationsOfMachine(const std::string &machine) const;
-    /** Superseded runs of the task on all workers; O(log runs). */
+    /** Number of superseded runs of the task on all workers; O(log runs). */
     std::uint32_t supersededRunCount(const TaskKey &key) const;
-    /** Jobs whose tasks, runs or state have changed, and workers whose room or registration has; not part of a snapshot. */
+    /** Jobs whose tasks, runs or state changed, and workers whose capacity or registration changed. Not part of a snapshot. */
     const ChangeLog<std::string> &jobChanges() const;
     const ChangeLog<Incarnation> &workerChanges() const;
     std::int64_t appliedAtMillis() const;
@@ -101,35 +101,35 @@
     Outcome removeWorker(const work::RemoveWorkerT &command);
     Outcome changeEvacuation(const work::ChangeEvacuationT &command);
 
-    /** Length of the group of placements at @p begin that are taken whole or not at all. */
+    /** Number of placements from @p begin on that are accepted or refused together. */
     std::size_t atomicGroupLength(const std::vector<std::unique_ptr<work::PlacementT>> &placements, std::size_t begin) const;
     bool placeRun(const work::PlacementT &placement);
-    /** A run takes its room on the worker, and of its team's quota. */
+    /** Adds a run to the worker: reserves its capacity there and its share of the team's quota. */
     void reserveCapacity(Worker &worker, const Job &job, const TaskKey &key);
-    /** @return false if the worker has no such run */
+    /** Reverts reserveCapacity(). @return false if the worker has no such run */
     bool releaseCapacity(Worker &worker, const Job &job, const TaskKey &key);
-    /** Keeps the indexes of addresses and machines true. */
+    /** Adds a registration to the indexes by address and machine, and marks the worker as changed. */
     void indexWorker(const work::RegisterWorkerT &registration);
     void unindexWorker(const work::RegisterWorkerT &registration);
     void addSuperseded(Worker &worker, const TaskKey &key, const SupersededRun &run);
     void removeSuperseded(Worker &worker, const TaskKey &key);
     void undoPlacement(const work::PlacementT &placement);
-    /** @return whether the task is given up with that */
+    /** @return whether the task is abandoned because of this end */
     bool endRun(const Incarnation &worker, const work::RunEndT &end);
-    /** A start meant for @p from has reached the next life of that worker. */
+    /** Moves a run whose start was sent to @p from but reached @p to, the next incarnation of that worker. */
     void moveRun(const Incarnation &from, const Incarnation &to, const work::RunEndT &run);
     void endSupersededRun(Worker &worker, const TaskKey &key, const work::RunEndT &end);
-    /** Counts the loss of a worker for the tasks that it took along. @return those that are given up with that */
+    /** Records the loss of a worker for the tasks on it. @return the tasks that are abandoned because of it */
     std::vector<TaskKey> recordLosses(const Worker &worker, const work::RemoveWorkerT &command);
-    /** A run was given up with its lease. */
+    /** Records that a run ended because its lease expired. */
     void recordExpiredLease(Worker &worker, const TaskKey &key, work::RunAtLoss atLoss);
-    /** The task has shown that it doesn't take workers down. */
+    /** Clears the losses of a task that has run long enough not to be their cause. */
     void clearLosses(const TaskKey &key);
-    /** It is known now what became of a worker on which runs were given up with their lease. */
+    /** Clears the unconfirmed losses of a worker that has responded again or was removed. */
     void resolveExpiredLeases(Worker &worker);
-    /** Finds the suspects, and what is in doubt of them, in the jobs and workers of a snapshot. */
+    /** Rebuilds the suspects and their unconfirmed losses from restored jobs and workers. */
     void restoreSuspects();
-    /** Keeps `suspectTasks` true for one task. */
+    /** Updates `suspectTasks` for one task. */
     void updateSuspect(const TaskKey &key);
     void updateJobIndexes(Job &job);
     void updateWaitingIndex(const Job &job);
@@ -141,8 +141,8 @@
     std::set<std::string, std::less<>> evacuated;
     std::int64_t appliedAt = 0;
 
-    // Derived, rebuilt by restore():
-    /** Counts the runs of all workers and their superseded runs. */
+    // Derived; rebuilt by restore():
+    /** Quota usage of the runs and superseded runs of all workers. */
     Teams teamQuotas;
     std::set<std::string> activeJobIds;
     std::set<std::string> waitingJobIds;
@@ -152,7 +152,7 @@
     std::map<TaskKey, std::uint32_t> supersededByTask;
     ChangeLog<std::string> jobChangeLog;
     ChangeLog<Incarnation> workerChangeLog;
-    /** Ended jobs without runs, in the order in which they came to that. */
+    /** Fully ended jobs, in the order in which they became so. */
     std::deque<std::string> endedJobIds;
 };
 
--- a/paddlepier/workload/workload_test.cpp
+++ b/paddlepier/workload/workload_test.cpp
@@ -1,4 +1,5 @@
-// Lives of workers in a region's workload: which records are of the life that is there, and what a snapshot keeps of them.
+// Worker incarnations in a workload: commands affect only the incarnation that they name, and snapshots restore all incarnations.
+// Also evacuation of a data centre, which refuses placements on its workers.
 
 #include "paddlepier/workload/applycommand.h"
 
@@ -12,10 +13,10 @@
 namespace
 {
 
-class LivesFixture
+class IncarnationFixture
 {
 public:
-    LivesFixture()
+    IncarnationFixture()
     {
         work::ChangeConfigurationT configuration;
         configuration.version = 1;
@@ -37,33 +38,33 @@
         return applyCommand(this->state, 1000, std::move(table));
     }
 
-    void announce(const Incarnation &life, std::uint64_t sequence, std::uint32_t processors = 4000, const std::string &zone = "")
+    void announce(const Incarnation &incarnation, std::uint64_t sequence, std::uint32_t processors = 4000, const std::string &zone = "")
     {
         work::RegisterWorkerT registration;
-        registration.id = life.id;
-        registration.born = life.born;
+        registration.id = incarnation.id;
+        registration.born = incarnation.born;
         registration.sequence = sequence;
         registration.zone = zone;
         registration.capacity = std::make_unique<work::Demand>(processors, 10'000, 0);
         this->apply(std::move(registration));
     }
 
-    void place(std::uint32_t index, const Incarnation &life)
+    void place(std::uint32_t index, const Incarnation &incarnation)
     {
         work::PlaceRunsT command;
         auto &placement = command.placements.emplace_back(std::make_unique<work::PlacementT>());
         placement->task = key(index).record();
         placement->run = 1;
-        placement->worker = life.id;
-        placement->born = life.born;
+        placement->worker = incarnation.id;
+        placement->born = incarnation.born;
         this->apply(std::move(command));
     }
 
-    void end(std::uint32_t index, const Incarnation &life, std::uint64_t sequence)
+    void end(std::uint32_t index, const Incarnation &incarnation, std::uint64_t sequence)
     {
         work::RecordEndsT command;
-        command.worker = life.id;
-        command.born = life.born;
+        command.worker = incarnation.id;
+        command.born = incarnation.born;
         auto &run = command.ends.emplace_back(std::make_unique<work::RunEndT>());
         run->task = key(index).record();
         run->run = 1;
@@ -89,7 +90,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(LivesFixture, "announcementOfAnEarlierLife_isOfNone")
+TEST_CASE_METHOD(IncarnationFixture, "announcement_ofAnEarlierIncarnation_isIgnored")
 {
     this->announce(this->second, 1);
     this->announce(this->first, 700, 1000);
@@ -99,7 +100,7 @@
     CHECK(this->state.findLatestWorker("v") == nullptr);
 }
 
-TEST_CASE_METHOD(LivesFixture, "laterLife_whateverItsSequence_countsItsEndsAnew")
+TEST_CASE_METHOD(IncarnationFixture, "nextIncarnation_withLowerSequence_numbersItsEndsFromOne")
 {
     this->announce(this->first, 700);
     this->place(0, this->first);
@@ -109,13 +110,13 @@
     CHECK(this->state.findWorker(this->first)->lastSequence == 57);
     CHECK(this->state.findWorker(this->second)->lastSequence == 0);
     this->place(1, this->second);
-    this->end(1, this->first, 58); // of another life: not that run's
+    this->end(1, this->first, 58); // sent by another incarnation: not the end of this run
     CHECK_FALSE(this->task(1).isDone);
     this->end(1, this->second, 1);
     CHECK(this->task(1).isDone);
 }
 
-TEST_CASE_METHOD(LivesFixture, "removalOfALife_movesTheRunsThatTheNextOneHas")
+TEST_CASE_METHOD(IncarnationFixture, "removedIncarnation_withRunsOnTheNextOne_movesThem")
 {
     this->announce(this->first, 1);
     this->place(0, this->first);
@@ -144,7 +145,7 @@
     CHECK(this->task(1).lostWorkers == std::vector<std::string>{"w@5000"});
 }
 
-TEST_CASE_METHOD(LivesFixture, "snapshot_withTwoLivesOfAnId_restoresBoth")
+TEST_CASE_METHOD(IncarnationFixture, "snapshot_withTwoIncarnationsOfAnId_restoresBoth")
 {
     this->announce(this->first, 3);
     this->place(0, this->first);
@@ -158,7 +159,7 @@
     CHECK(again.findJob("a")->task(key(1)).worker == this->second);
 }
 
-TEST_CASE_METHOD(LivesFixture, "lifeOfAnOlderSnapshot_isTheEarliestOfItsId")
+TEST_CASE_METHOD(IncarnationFixture, "incarnation_withoutStartTime_isTheEarliestOfItsId")
 {
     this->announce({"w"}, 40);
     this->place(0, {"w"});
@@ -171,7 +172,7 @@
     CHECK_FALSE(this->first.isAfter({"v"}));
 }
 
-TEST_CASE_METHOD(LivesFixture, "evacuation_ofAWorkersDataCentre_keepsPlacementsAwayUntilItIsWithdrawn")
+TEST_CASE_METHOD(IncarnationFixture, "evacuation_ofTheWorkersDataCentre_refusesPlacementsUntilWithdrawn")
 {
     const auto change = [this](bool isEvacuated) {
         work::ChangeEvacuationT command;
@@ -197,7 +198,7 @@
     CHECK(this->task(1).worker == this->first);
 }
 
-TEST_CASE_METHOD(LivesFixture, "evacuation_withoutADataCentre_isRefused")
+TEST_CASE_METHOD(IncarnationFixture, "evacuation_withoutADataCentre_isRefused")
 {
     CHECK(this->apply(work::ChangeEvacuationT()).error == ErrorCode::InvalidArgument);
     CHECK(this->state.evacuatedDataCentres().empty());
--- a/paddlepier/workload/workloadsnapshot.cpp
+++ b/paddlepier/workload/workloadsnapshot.cpp
@@ -1,4 +1,4 @@
-// A region's workload as a replicated state machine: how it is stored in a snapshot.
+// Workload: conversion to and from a snapshot.
 
 #include "paddlepier/wire/codec.h"
 #include "paddlepier/workload/workload.h"
@@ -32,9 +32,9 @@
 
 std::string Workload::snapshot() const
 {
-    // Packed straight from the state, without a copy of it as records.
-    constexpr std::size_t usualJobBytes = 1024;
-    flatbuffers::FlatBufferBuilder builder(usualJobBytes * (1 + this->jobById.size()));
+    // Packed directly from the state: intermediate records would be a second copy of it.
+    constexpr std::size_t typicalJobBytes = 1024;
+    flatbuffers::FlatBufferBuilder builder(typicalJobBytes * (1 + this->jobById.size()));
     std::vector<flatbuffers::Offset<work::JobRecord>> jobs;
     jobs.reserve(this->jobById.size());
     for (const auto &[id, job] : this->jobById) {
@@ -42,7 +42,7 @@
     }
     std::vector<flatbuffers::Offset<work::WorkerRecord>> workers;
     workers.reserve(this->workerByIncarnation.size());
-    for (const auto &[life, worker] : this->workerByIncarnation) {
+    for (const auto &[incarnation, worker] : this->workerByIncarnation) {
         workers.push_back(packWorker(builder, worker));
     }
     const auto configuration = work::ChangeConfiguration::Pack(builder, &this->currentConfiguration);
@@ -56,7 +56,7 @@
 void Workload::restore(const std::string &bytes)
 {
     const auto snapshot = wire::unpack<work::SnapshotT>(bytes);
-    // Readers' positions go on.
+    // The change logs are retained, so that positions held by readers stay valid.
     ChangeLog<std::string> jobLog = std::move(this->jobChangeLog);
     ChangeLog<Incarnation> workerLog = std::move(this->workerChangeLog);
     *this = Workload();
