--- a/paddlepier/base/boundedwriter.cpp
+++ b/paddlepier/base/boundedwriter.cpp
@@ -1,4 +1,4 @@
-// Writes text to a descriptor from a thread of its own.
+// Writes text to a file descriptor from a dedicated thread.
 
 #include "paddlepier/base/boundedwriter.h"
 
@@ -19,26 +19,26 @@
 namespace
 {
 
-/** Lines gather for this long before they are written together: a wake-up costs more than a line. */
-constexpr Duration gatherTime = absl::Milliseconds(20);
+/** Lines are collected for this long and written together, since waking the thread costs more than writing a line. */
+constexpr Duration batchTime = absl::Milliseconds(20);
 
-/** Longest wait of a destructor for the rest to be written. */
-constexpr Duration closePatience = absl::Milliseconds(200);
+/** Maximum time for which the destructor waits for buffered text to be written. */
+constexpr Duration closeTimeout = absl::Milliseconds(200);
 
-/** Whole lines of @p text, as many as a pipe takes in one piece, so that a reader doesn't find them mixed or cut. */
-std::string_view nextPiece(std::string_view text)
+/** The leading complete lines of @p text that fit into PIPE_BUF: a pipe takes them atomically, so that a reader sees no mixed or cut lines. */
+std::string_view nextChunk(std::string_view text)
 {
-    const std::string_view most = text.substr(0, PIPE_BUF);
-    const std::size_t lineEnd = most.rfind('\n');
-    return lineEnd == std::string_view::npos ? most : most.substr(0, lineEnd + 1);
+    const std::string_view limited = text.substr(0, PIPE_BUF);
+    const std::size_t lineEnd = limited.rfind('\n');
+    return lineEnd == std::string_view::npos ? limited : limited.substr(0, lineEnd + 1);
 }
 
-/** @return false if the descriptor takes no more */
-bool writeWhole(int descriptor, std::string_view text)
+/** @return false if the descriptor refuses further writes */
+bool writeAll(int descriptor, std::string_view text)
 {
     while (!text.empty()) {
-        const std::string_view piece = nextPiece(text);
-        const ssize_t written = ::write(descriptor, piece.data(), piece.size());
+        const std::string_view chunk = nextChunk(text);
+        const ssize_t written = ::write(descriptor, chunk.data(), chunk.size());
         if (written < 0 && errno != EINTR) {
             return false;
         }
@@ -51,20 +51,20 @@
 
 struct BoundedWriter::State {
     int descriptor = -1;
-    std::size_t mostBytes = 0;
+    std::size_t maxBytes = 0;
     absl::Mutex mutex;
-    std::string waiting ABSL_GUARDED_BY(mutex);
+    std::string pending ABSL_GUARDED_BY(mutex);
     std::int64_t dropped ABSL_GUARDED_BY(mutex) = 0;
     bool stopping ABSL_GUARDED_BY(mutex) = false;
     bool finished ABSL_GUARDED_BY(mutex) = false;
 };
 
-BoundedWriter::BoundedWriter(int descriptor, std::size_t mostBytes)
+BoundedWriter::BoundedWriter(int descriptor, std::size_t maxBytes)
     : state(std::make_shared<State>())
 {
     this->state->descriptor = descriptor;
-    this->state->mostBytes = mostBytes;
-    // Signals are for the threads that wait for them.
+    this->state->maxBytes = maxBytes;
+    // The writer inherits a full signal mask: signals are delivered to the threads that wait for them.
     sigset_t all;
     sigset_t before;
     sigfillset(&all);
@@ -75,17 +75,17 @@
 
 BoundedWriter::~BoundedWriter()
 {
-    this->stop(closePatience);
+    this->stop(closeTimeout);
 }
 
 bool BoundedWriter::post(std::string_view text)
 {
     const absl::MutexLock lock(&this->state->mutex);
-    if (this->state->stopping || this->state->waiting.size() + text.size() > this->state->mostBytes) {
+    if (this->state->stopping || this->state->pending.size() + text.size() > this->state->maxBytes) {
         ++this->state->dropped;
         return false;
     }
-    this->state->waiting += text;
+    this->state->pending += text;
     return true;
 }
 
@@ -95,27 +95,27 @@
     return std::exchange(this->state->dropped, 0);
 }
 
-void BoundedWriter::stop(Duration patience)
+void BoundedWriter::stop(Duration timeout)
 {
     const absl::MutexLock lock(&this->state->mutex);
     this->state->stopping = true;
-    this->state->mutex.AwaitWithTimeout(absl::Condition(&this->state->finished), patience);
+    this->state->mutex.AwaitWithTimeout(absl::Condition(&this->state->finished), timeout);
 }
 
 void BoundedWriter::run(const std::shared_ptr<State> &state)
 {
-    const auto hasWork = [](State *shared) { return !shared->waiting.empty() || shared->stopping; };
+    const auto hasWork = [](State *shared) { return !shared->pending.empty() || shared->stopping; };
     while (true) {
         std::string text;
         bool isLast = false;
         {
             const absl::MutexLock lock(&state->mutex);
             state->mutex.Await(absl::Condition(+hasWork, state.get()));
-            state->mutex.AwaitWithTimeout(absl::Condition(&state->stopping), gatherTime);
-            text.swap(state->waiting);
+            state->mutex.AwaitWithTimeout(absl::Condition(&state->stopping), batchTime);
+            text.swap(state->pending);
             isLast = state->stopping;
         }
-        const bool isOpen = writeWhole(state->descriptor, text);
+        const bool isOpen = writeAll(state->descriptor, text);
         if (isLast || !isOpen) {
             const absl::MutexLock lock(&state->mutex);
             state->stopping = true;
--- a/paddlepier/base/boundedwriter.h
+++ b/paddlepier/base/boundedwriter.h
@@ -1,6 +1,6 @@
-// Writes text to a descriptor from a thread of its own, so that a reader that stalls costs lines and nothing else.
+// Writes text to a file descriptor from a dedicated thread, so that a stalled reader costs lines but never blocks the caller.
 //
-// post() never waits: what doesn't fit into the buffer is dropped and counted. Lines are written whole and in order.
+// post() never blocks: text that does not fit into the buffer is dropped and counted. Lines are written completely and in order.
 //
 // Example:
 //     BoundedWriter writer(STDOUT_FILENO, 1U << 20U);
@@ -25,8 +25,8 @@
 class BoundedWriter
 {
 public:
-    /** @param mostBytes text that may wait to be written */
-    BoundedWriter(int descriptor, std::size_t mostBytes);
+    /** @param maxBytes  size of the buffer for text that is not written yet */
+    BoundedWriter(int descriptor, std::size_t maxBytes);
     ~BoundedWriter();
 
     BoundedWriter(const BoundedWriter &) = delete;
@@ -35,17 +35,17 @@
     /** @return false if @p text was dropped */
     bool post(std::string_view text);
 
-    /** Texts that were dropped since the last call of this function. */
+    /** Returns the number of texts dropped since the previous call, and resets it. */
     std::int64_t drainDroppedCount();
 
-    /** Writes what waits, for @p patience at most; later texts are dropped. */
-    void stop(Duration patience);
+    /** Writes the buffered text, waiting for at most @p timeout; later texts are dropped. */
+    void stop(Duration timeout);
 
 private:
     struct State;
     static void run(const std::shared_ptr<State> &state);
 
-    // Shared with the thread, which is left behind if its descriptor never takes the rest.
+    // Shared with the detached thread, which outlives this object if its descriptor blocks.
     std::shared_ptr<State> state;
 };
 
--- a/paddlepier/base/boundedwriter_test.cpp
+++ b/paddlepier/base/boundedwriter_test.cpp
@@ -1,4 +1,4 @@
-// A writer whose reader stalls, goes on, or is gone.
+// A writer whose reader keeps up, stalls, or has closed the pipe.
 
 #include "paddlepier/base/boundedwriter.h"
 
@@ -40,7 +40,7 @@
         this->ends[0] = -1;
     }
 
-    /** Reads until @p text has come; waits for it. */
+    /** Reads as many bytes as @p text has, blocking for them. @return whether they are equal to @p text */
     bool reads(const std::string &text) const
     {
         std::string read;
@@ -58,13 +58,13 @@
     std::array<int, 2> ends{-1, -1};
 };
 
-constexpr std::size_t mostBytes = 1000;
+constexpr std::size_t maxBytes = 1000;
 
 } // namespace
 
-TEST_CASE_METHOD(BoundedWriterFixture, "lines_withAReader_comeWholeAndInOrder")
+TEST_CASE_METHOD(BoundedWriterFixture, "lines_withActiveReader_arriveCompleteAndInOrder")
 {
-    BoundedWriter writer(this->ends[1], mostBytes);
+    BoundedWriter writer(this->ends[1], maxBytes);
     CHECK(writer.post("one\n"));
     CHECK(writer.post("two\n"));
     writer.stop(absl::Seconds(60));
@@ -72,11 +72,11 @@
     CHECK(writer.drainDroppedCount() == 0);
 }
 
-TEST_CASE_METHOD(BoundedWriterFixture, "lines_moreThanAPipeTakesInOnePiece_comeInWholeLines")
+TEST_CASE_METHOD(BoundedWriterFixture, "lines_exceedingPipeBuf_arriveAsCompleteLines")
 {
     this->closeReader();
     ::close(this->ends[1]);
-    // In this mode each read gives what one write wrote.
+    // In packet mode each read returns the data of one write.
     REQUIRE(::pipe2(this->ends.data(), O_DIRECT) == 0);
     std::string text;
     for (std::size_t line = 0; line < 100; ++line) {
@@ -85,21 +85,21 @@
     BoundedWriter writer(this->ends[1], text.size());
     REQUIRE(writer.post(text));
     std::string read;
-    std::array<char, PIPE_BUF> piece{};
+    std::array<char, PIPE_BUF> chunk{};
     while (read.size() < text.size()) {
-        const ssize_t size = ::read(this->ends[0], piece.data(), piece.size());
+        const ssize_t size = ::read(this->ends[0], chunk.data(), chunk.size());
         REQUIRE(size > 0);
-        CHECK(piece[static_cast<std::size_t>(size) - 1] == '\n');
-        read.append(piece.data(), static_cast<std::size_t>(size));
+        CHECK(chunk[static_cast<std::size_t>(size) - 1] == '\n');
+        read.append(chunk.data(), static_cast<std::size_t>(size));
     }
     CHECK(read == text);
 }
 
-TEST_CASE_METHOD(BoundedWriterFixture, "lines_whileTheReaderStalls_areDroppedAndCountedWithoutWaiting")
+TEST_CASE_METHOD(BoundedWriterFixture, "lines_withStalledReader_areDroppedAndCountedWithoutBlocking")
 {
-    BoundedWriter writer(this->ends[1], mostBytes);
+    BoundedWriter writer(this->ends[1], maxBytes);
     const std::string line(100, 'x');
-    // More than pipe and buffer can take: if a post waited for the reader, this would never end.
+    // More than pipe and buffer can hold: if post() waited for the reader, the loop would not end.
     std::int64_t refused = 0;
     for (int count = 0; count < 100'000; ++count) {
         refused += writer.post(line) ? 0 : 1;
@@ -110,7 +110,7 @@
     CHECK(this->reads(line));
 }
 
-TEST_CASE_METHOD(BoundedWriterFixture, "stop_whileTheReaderStalls_returns")
+TEST_CASE_METHOD(BoundedWriterFixture, "stop_withStalledReader_returns")
 {
     ::fcntl(this->ends[1], F_SETPIPE_SZ, 4096);
     BoundedWriter writer(this->ends[1], 1U << 20U);
@@ -119,13 +119,13 @@
     CHECK_FALSE(writer.post("late"));
 }
 
-TEST_CASE_METHOD(BoundedWriterFixture, "lines_afterTheReaderIsGone_areDropped")
+TEST_CASE_METHOD(BoundedWriterFixture, "lines_afterTheReaderClosed_areDropped")
 {
     ::signal(SIGPIPE, SIG_IGN);
     this->closeReader();
-    BoundedWriter writer(this->ends[1], mostBytes);
+    BoundedWriter writer(this->ends[1], maxBytes);
     writer.post("one\n");
-    // The writer notices at its first write, and then drops.
+    // The writer detects the closed pipe on its first write and drops later texts.
     while (writer.post("")) {
         ::usleep(1000);
     }
--- a/paddlepier/base/clock.cpp
+++ b/paddlepier/base/clock.cpp
@@ -23,7 +23,7 @@
 
 Timestamp controlNow()
 {
-    // The steady clock stands still while the machine is suspended: a leader's lease would outlive its term.
+    // CLOCK_MONOTONIC does not advance while the machine is suspended: a leader would consider its lease valid after another was elected.
     return absl::UnixEpoch() + read(CLOCK_BOOTTIME);
 }
 
--- a/paddlepier/base/clock.h
+++ b/paddlepier/base/clock.h
@@ -1,9 +1,9 @@
-// Points in time and their source.
+// Clocks of the process.
 //
-// State machines never read a clock: the process shell reads it once for each event and passes it in. Control time is
-// monotonic, counts the time for which the machine was suspended, and starts with the machine, so that it can't be compared between
-// machines. Promises (leases, a voter's silence) and time outs both rest on it: after a suspension they are as old as they are for
-// everybody else. Wall time is used for what people read (submission times), never for a decision that a promise rests on.
+// State machines never read a clock: the process reads it once per event and passes the value in. Control time is monotonic, includes the
+// time for which the machine was suspended, and starts at boot, so that values of different machines can't be compared. Leases, voting
+// restrictions and timeouts are measured in control time: after a suspension they have aged as much as on the other machines. Wall time is
+// used for values shown to people (submission times), never for decisions about leases or votes.
 //
 // Thread safety: free functions without state.
 
@@ -21,13 +21,13 @@
 using Timestamp = absl::Time;
 using Duration = absl::Duration;
 
-/** Monotonic control time; unaffected by changes of the wall clock, and going on while the machine is suspended. */
+/** Current control time: unaffected by changes of the wall clock, and advancing while the machine is suspended. */
 Timestamp controlNow();
 
-/** How long the machine has been suspended since it was started. */
+/** Total time for which the machine has been suspended since boot. */
 Duration totalSuspendedTime();
 
-/** Microseconds since 1970 on the wall clock. */
+/** Wall-clock time in microseconds since 1970. */
 std::int64_t wallMicros();
 
 } // namespace paddlepier
--- a/paddlepier/base/clock_test.cpp
+++ b/paddlepier/base/clock_test.cpp
@@ -1,7 +1,7 @@
-// The clock that promises rest on, on a machine that is suspended.
+// Control time on a machine that was suspended.
 //
-// A machine may be suspended for seconds, and its steady clock doesn't count them: a leader, or the holder of a lease, would take
-// its own for young although all others had waited it out. The time since boot counts them.
+// Guards against a lease that outlives its validity: CLOCK_MONOTONIC does not count a suspension, so that a leader or lease holder that
+// measured with it would keep using a lease that has expired on all other machines. The time since boot counts the suspension.
 
 #include "paddlepier/base/clock.h"
 #include "paddlepier/base/suspension.h"
@@ -23,21 +23,21 @@
 
 constexpr std::int64_t offsetSeconds = 1000;
 
-/** Control time is ahead of the steady clock by what the machine was suspended for. */
+/** Whether control time is ahead of the steady clock by the time of the suspension. */
 bool countsSuspension()
 {
     const Duration steady = absl::FromChrono(std::chrono::steady_clock::now().time_since_epoch());
     return controlNow() - absl::UnixEpoch() - steady > absl::Seconds(offsetSeconds / 2);
 }
 
-/** Enters a time namespace in which the machine looks as if it had been suspended, and asks there. */
-int askInChild()
+/** Runs countsSuspension() in a time namespace that makes the machine appear to have been suspended. */
+int checkInNamespace()
 {
     if (unshare(CLONE_NEWUSER | CLONE_NEWTIME) != 0) {
         return 2;
     }
     std::ofstream("/proc/self/timens_offsets") << "boottime " << offsetSeconds << " 0" << std::endl;
-    // Only children are in the namespace.
+    // A new time namespace applies to children, not to the calling process.
     const pid_t child = fork();
     if (child == 0) {
         _exit(countsSuspension() ? 0 : 1);
@@ -49,11 +49,11 @@
 
 } // namespace
 
-TEST_CASE("controlTime_onAMachineThatWasSuspended_countsThatTime")
+TEST_CASE("controlTime_afterASuspension_includesIt")
 {
     const pid_t child = fork();
     if (child == 0) {
-        _exit(askInChild());
+        _exit(checkInNamespace());
     }
     int status = 0;
     REQUIRE(waitpid(child, &status, 0) == child);
@@ -61,7 +61,7 @@
     CHECK(WEXITSTATUS(status) == 0);
 }
 
-TEST_CASE("suspensionWatch_afterASuspension_tellsItOnce")
+TEST_CASE("suspensionDetector_afterASuspension_reportsItOnce")
 {
     SuspensionDetector watch(absl::Seconds(40));
     CHECK(watch.update(absl::Seconds(40) + absl::Microseconds(300)) == absl::ZeroDuration());
--- a/paddlepier/base/counters.cpp
+++ b/paddlepier/base/counters.cpp
@@ -1,4 +1,4 @@
-// Counters, histograms and their text form.
+// Counters and histograms, and their text form.
 
 #include "paddlepier/base/counters.h"
 
--- a/paddlepier/base/counters.h
+++ b/paddlepier/base/counters.h
@@ -1,14 +1,14 @@
 // Counters and latency histograms of one process.
 //
-// Counters only grow; gauges are set. A Histogram keeps counts in buckets whose bounds grow by a fixed ratio, so that a
-// quantile is read with a relative error of at most that ratio. The text form is one `name value` pair a line.
+// Counters only increase; gauges are set. A Histogram counts durations in buckets whose bounds grow by a fixed ratio, which limits the
+// relative error of a quantile to that ratio. The text form has one `name value` pair per line.
 //
 // Example:
 //     Counters counters;
 //     Counter &answers = counters.counter("quick_answers_total{outcome=\"completed\"}");
 //     answers.add();
 //
-// Thread safety: all classes may be used from any thread. References from Counters stay valid as long as it lives.
+// Thread safety: all classes may be used from any thread. References returned by Counters stay valid for its lifetime.
 
 #ifndef PADDLEPIER_BASE_COUNTERS_H
 #define PADDLEPIER_BASE_COUNTERS_H
@@ -29,7 +29,7 @@
 namespace paddlepier
 {
 
-/** A number that other threads may read at any time. */
+/** Counter or gauge; readable from any thread at any time. */
 class Counter
 {
 public:
@@ -52,11 +52,11 @@
     std::atomic<std::int64_t> total{0};
 };
 
-/** Durations in buckets; record() is O(log buckets), quantile() is O(buckets). */
+/** Bucketed distribution of durations. record() is O(log buckets), quantile() is O(buckets). */
 class Histogram
 {
 public:
-    /** Ratio between neighbouring bucket bounds, hence the largest relative error of a quantile. */
+    /** Ratio of neighbouring bucket bounds, which bounds the relative error of a quantile. */
     static constexpr double bucketRatio = 1.1;
 
     void record(Duration duration);
@@ -66,7 +66,7 @@
 
     std::int64_t count() const;
 
-    /** Of all durations recorded, to a microsecond each. */
+    /** Sum of all recorded durations, each truncated to microseconds. */
     Duration sum() const;
 
 private:
@@ -77,7 +77,7 @@
     std::atomic<std::int64_t> totalMicros{0};
 };
 
-/** Records in a histogram how long a scope takes. */
+/** Records the duration of a scope in a histogram. */
 class ScopeTimer
 {
 public:
@@ -105,14 +105,14 @@
     const Timestamp startedAt;
 };
 
-/** All counters of a process by name. */
+/** Registry of all counters and histograms of a process by name. */
 class Counters
 {
 public:
     Counter &counter(std::string_view name);
     Histogram &histogram(std::string_view name);
 
-    /** Every counter, and the count, the sum, p50 and p99 in seconds of every histogram. */
+    /** Text form of all counters, and of the count, sum, p50 and p99 of all histograms; durations in seconds. */
     std::string text() const;
 
 private:
--- a/paddlepier/base/error.cpp
+++ b/paddlepier/base/error.cpp
@@ -1,4 +1,4 @@
-// Table of HTTP statuses for error codes.
+// HTTP statuses and names of error codes.
 
 #include "paddlepier/base/error.h"
 
--- a/paddlepier/base/error.h
+++ b/paddlepier/base/error.h
@@ -1,7 +1,7 @@
-// Typed failures.
+// Exception types.
 //
-// Every failure that paddlepier raises is a class below Error and carries a wire::ErrorCode, so that it can cross a
-// process boundary and come back as the same class of failure. The text is for people; programs look at the code.
+// Every exception that paddlepier throws derives from Error and carries a wire::ErrorCode, so that it can be sent to another process and
+// rethrown there as the same type. The message is for people; programs evaluate the code.
 //
 // Example:
 //     throw UnknownJobError(absl::StrCat("no job ", name));
@@ -22,7 +22,7 @@
 
 using wire::ErrorCode;
 
-/** Base of every failure of this project. */
+/** Base class of all exceptions of this project. */
 class Error : public std::runtime_error
 {
 public:
@@ -37,7 +37,7 @@
     ErrorCode errorCode;
 };
 
-/** One class for each ErrorCode; the aliases below are the names to use. */
+/** Exception type of one ErrorCode; use the aliases below. */
 template<ErrorCode Code>
 class TypedError : public Error
 {
@@ -69,10 +69,10 @@
 using UsageError = TypedError<ErrorCode::Usage>;
 using InternalError = TypedError<ErrorCode::Internal>;
 
-/** HTTP status with which @p code is answered. */
+/** HTTP status of a response with @p code. */
 int httpStatus(ErrorCode code);
 
-/** Name of @p code as it stands in answers and logs. */
+/** Name of @p code as used in responses and logs. */
 const char *nameOf(ErrorCode code);
 
 } // namespace paddlepier
--- a/paddlepier/base/jsonfields.h
+++ b/paddlepier/base/jsonfields.h
@@ -1,14 +1,13 @@
-// Reads fields of JSON bodies with their types and bounds.
+// Reads fields of JSON bodies, checking types and bounds.
 //
-// A field that is missing gives its fallback; one of another type, negative, fractional or beyond its bounds is an
-// InvalidArgumentError with the field's name. Bytes that are no JSON, and rows that aren't as their reader states them,
-// are a MalformedBodyError.
+// A missing field yields its fallback. A field that has another type, is negative, or exceeds its bound throws an InvalidArgumentError that
+// names the field. A body that is not JSON, and a row entry of an unexpected type or value, throw a MalformedBodyError.
 //
 // Example:
 //     const Json object = parseObject(body);
-//     const std::uint32_t count = smallNumberOf(object, "count");
+//     const std::uint32_t count = uint32Of(object, "count");
 //
-// Thread safety: free functions without state. Cost: parsing is O(bytes) and doesn't recurse, however deep the nesting is.
+// Thread safety: free functions without state. Cost: parsing is O(bytes), without recursion for nested values.
 
 #ifndef PADDLEPIER_BASE_JSONFIELDS_H
 #define PADDLEPIER_BASE_JSONFIELDS_H
@@ -28,28 +27,33 @@
 constexpr std::uint64_t maxUint32 = std::numeric_limits<std::uint32_t>::max();
 constexpr std::uint64_t maxNumber = std::numeric_limits<std::int64_t>::max();
 
-/** @throws MalformedBodyError if @p body is no JSON object */
+/** @throws MalformedBodyError if @p body is not a JSON object */
 Json parseObject(const std::string &body);
 
-/** Null if the field is missing or null. @throws MalformedBodyError if @p object is none */
+/** @return null if the field is missing or null. @throws MalformedBodyError if @p object is not an object */
 const Json *find(const Json &object, const char *name);
 
-std::uint64_t numberOf(const Json &object, const char *name, std::uint64_t fallback = 0, std::uint64_t most = maxUint32);
-/** The same without a fraction, however it is written, and from 1; 0 if it is missing. */
-std::uint64_t positiveNumberOf(const Json &object, const char *name, std::uint64_t most);
+/** A number from 0 to @p max; a fractional part is cut off. */
+std::uint64_t numberOf(const Json &object, const char *name, std::uint64_t fallback = 0, std::uint64_t max = maxUint32);
+/** An integer from 1 to @p max, not written as a real number; 0 if the field is missing. */
+std::uint64_t positiveNumberOf(const Json &object, const char *name, std::uint64_t max);
 std::uint32_t uint32Of(const Json &object, const char *name, std::uint32_t fallback = 0);
 double realOf(const Json &object, const char *name, double fallback);
 bool boolOf(const Json &object, const char *name);
 std::string textOf(const Json &object, const char *name);
-/** @throws InvalidArgumentError also if the text is missing or empty */
+/** Like textOf(). @throws InvalidArgumentError also if the text is missing or empty */
 std::string requiredTextOf(const Json &object, const char *name);
 const Json &listOf(const Json &object, const char *name);
-/** A list of texts. */
+/** Elements of a list of strings; empty if the field is missing. */
 std::vector<std::string> textsOf(const Json &object, const char *name);
 
-/** An entry of a row. @throws MalformedBodyError if it is of another type, or a number below 0 or above @p most */
+/**
+ * Value of a row, which is an array with one value per column.
+ *
+ * @throws MalformedBodyError if the value has another type, or is a number outside 0 to @p max
+ */
 std::string rowText(const Json &value);
-std::uint64_t rowNumber(const Json &value, std::uint64_t most = maxUint32);
+std::uint64_t rowNumber(const Json &value, std::uint64_t max = maxUint32);
 
 } // namespace paddlepier::json
 
--- a/paddlepier/base/log.cpp
+++ b/paddlepier/base/log.cpp
@@ -1,4 +1,4 @@
-// JSON lines through log4cplus.
+// JSON log lines, formatted by log4cplus.
 
 #include "paddlepier/base/log.h"
 
@@ -63,15 +63,15 @@
     return jsonString(std::get<std::string>(value));
 }
 
-/** Some seconds of lines at the highest load seen; a reader that stalls for longer loses lines. */
-constexpr std::size_t mostWaitingBytes = std::size_t{1} << 20U;
+/** Holds a few seconds of lines at the highest expected load; if the reader stalls for longer, lines are dropped. */
+constexpr std::size_t maxBufferedBytes = std::size_t{1} << 20U;
 
-constexpr Duration finishPatience = absl::Milliseconds(200);
+constexpr Duration flushTimeout = absl::Milliseconds(200);
 
-/** Lines of one event in a second: above the starts and ends of the largest deployment aimed at. */
-constexpr std::int64_t mostLinesPerSecond = 1000;
+/** Lines per event and second; above the rate of run starts and ends in the largest supported deployment. */
+constexpr std::int64_t maxLinesPerSecond = 1000;
 
-/** Formats lines by the library's layout and hands them to a writer that never waits. */
+/** Formats lines with the layout of the library and passes them to a writer that never blocks. */
 class WriterAppender : public log4cplus::Appender
 {
 public:
@@ -94,15 +94,15 @@
         this->closed = true;
     }
 
-    static void finish()
+    static void flush()
     {
         if (WriterAppender *appender = current) {
-            appender->writer.stop(finishPatience);
+            appender->writer.stop(flushTimeout);
         }
     }
 
-    /** Lines that were dropped since the last call; 0 where no output is set up. */
-    static std::int64_t takeDropped()
+    /** Lines dropped since the previous call; 0 before initialize(). */
+    static std::int64_t drainDroppedCount()
     {
         WriterAppender *appender = current;
         return appender == nullptr ? 0 : appender->writer.drainDroppedCount();
@@ -117,13 +117,13 @@
 private:
     inline static std::atomic<WriterAppender *> current{nullptr};
 
-    BoundedWriter writer{STDOUT_FILENO, mostWaitingBytes};
+    BoundedWriter writer{STDOUT_FILENO, maxBufferedBytes};
 };
 
-LogRateLimiter &lineBudget()
+LogRateLimiter &rateLimiter()
 {
-    static LogRateLimiter budget(mostLinesPerSecond);
-    return budget;
+    static LogRateLimiter limiter(maxLinesPerSecond);
+    return limiter;
 }
 
 void writeLine(Level level, std::string_view component, std::string_view event, Fields fields)
@@ -150,7 +150,7 @@
 
 void flushAndExit(int status)
 {
-    WriterAppender::finish();
+    WriterAppender::flush();
     std::_Exit(status);
 }
 
@@ -169,15 +169,15 @@
     if (!log4cplus::Logger::getRoot().isEnabledFor(toLibraryLevel(level))) {
         return;
     }
-    const LogRateLimiter::Decision verdict = lineBudget().admit(event, controlNow());
-    if (verdict.suppressedLines > 0) {
-        writeLine(Level::Warning, "log", "lines.left-out", {{"of", event}, {"lines", verdict.suppressedLines}});
+    const LogRateLimiter::Decision decision = rateLimiter().admit(event, controlNow());
+    if (decision.suppressedLines > 0) {
+        writeLine(Level::Warning, "log", "lines.left-out", {{"of", event}, {"lines", decision.suppressedLines}});
     }
-    const std::int64_t dropped = WriterAppender::takeDropped();
+    const std::int64_t dropped = WriterAppender::drainDroppedCount();
     if (dropped > 0) {
         writeLine(Level::Warning, "log", "lines.dropped", {{"reason", "the reader of standard output is slow"}, {"lines", dropped}});
     }
-    if (verdict.isAllowed) {
+    if (decision.isAllowed) {
         writeLine(level, component, event, fields);
     }
 }
--- a/paddlepier/base/log.h
+++ b/paddlepier/base/log.h
@@ -1,10 +1,10 @@
-// Structured logs: one JSON object a line on standard output.
+// Structured logging: one JSON object per line on standard output.
 //
-// Every line has `time`, `level`, `component` and `event`, and then the event's own fields. Fields are typed, so that a
-// number stays a number in JSON.
+// Every line has `time`, `level`, `component` and `event`, followed by the fields of the event. Fields are typed, so that numbers are written
+// as JSON numbers.
 //
-// Writing never waits for the reader of standard output, and each event has a budget of lines a second. What was lost or
-// left out is told by a line of its own, `lines.dropped` or `lines.left-out`, with the count.
+// Writing never blocks on the reader of standard output, and the lines of each event are limited per second. Lines that were dropped for a
+// slow reader or suppressed by the limit are counted and reported by the events `lines.dropped` and `lines.left-out`.
 //
 // Example:
 //     log::info("ledger", "leader.elected", {{"group", name}, {"term", term}});
@@ -26,7 +26,7 @@
 
 enum class Level { Debug, Info, Warning, Error };
 
-/** One named value of a log line. */
+/** Named value of a log line. */
 struct Field {
     using Value = std::variant<std::int64_t, double, bool, std::string>;
 
@@ -58,17 +58,17 @@
 
 using Fields = std::initializer_list<Field>;
 
-/** Sets up output; lines below @p lowest are dropped. Call once, before other threads start. */
+/** Sets up output and discards lines below @p lowest. Call once, before other threads start. */
 void initialize(Level lowest);
 
-/** Reads a level's name as written in settings; throws InvalidSettingsError for any other text. */
+/** Parses a level name as used in settings. @throws InvalidSettingsError if there is no such level */
 Level levelFromName(std::string_view name);
 
 /**
- * Writes what waits, for a fifth of a second at most, and ends the process without destroying static objects.
+ * Flushes buffered lines, waiting at most 200 ms (a fifth of a second), and exits without destroying static objects.
  *
- * The logging library ends its own threads when it is destroyed, which has kept stopped processes for seconds. Call it when
- * everything that needs an orderly end has had it.
+ * Destroying the logging library joins its threads, which delayed the end of stopped processes by seconds. Call this after everything else
+ * has been shut down.
  */
 [[noreturn]] void flushAndExit(int status);
 
@@ -94,7 +94,7 @@
     write(Level::Error, component, event, fields);
 }
 
-/** @p text as a JSON string with its quotes; bytes that are not UTF-8 are escaped. */
+/** Encodes @p text as a quoted JSON string; bytes that are not UTF-8 are escaped. */
 std::string jsonString(std::string_view text);
 
 } // namespace paddlepier::log
--- a/paddlepier/base/logratelimiter.cpp
+++ b/paddlepier/base/logratelimiter.cpp
@@ -1,4 +1,4 @@
-// Bounds how many log lines an event may write in a second.
+// Limits the number of log lines per event and second.
 
 #include "paddlepier/base/logratelimiter.h"
 
@@ -19,16 +19,16 @@
     if (found == this->windows.end()) {
         found = this->windows.emplace(std::string(event), Window()).first;
     }
-    Window &second = found->second;
-    Decision verdict;
-    if (now - second.begin >= absl::Seconds(1)) {
-        second.begin = now;
-        second.lines = 0;
-        verdict.suppressedLines = std::exchange(second.suppressedLines, 0);
+    Window &window = found->second;
+    Decision decision;
+    if (now - window.begin >= absl::Seconds(1)) {
+        window.begin = now;
+        window.lines = 0;
+        decision.suppressedLines = std::exchange(window.suppressedLines, 0);
     }
-    verdict.isAllowed = second.lines < this->limit;
-    (verdict.isAllowed ? second.lines : second.suppressedLines) += 1;
-    return verdict;
+    decision.isAllowed = window.lines < this->limit;
+    (decision.isAllowed ? window.lines : window.suppressedLines) += 1;
+    return decision;
 }
 
 } // namespace paddlepier
--- a/paddlepier/base/logratelimiter.h
+++ b/paddlepier/base/logratelimiter.h
@@ -1,12 +1,12 @@
-// Bounds how many log lines an event may write in a second.
+// Limits the number of log lines per event and second.
 //
-// Under load one event can come thousands of times a second; its first lines tell as much as all of them. What is left
-// out is counted, and the count is given with the event's next second.
+// Under load an event can occur thousands of times a second, and its first lines are as informative as all of them. Suppressed lines are
+// counted; the count is returned with the first line of the event in a later second.
 //
 // Example:
-//     const LineBudget::Verdict verdict = budget.take("run.ended", now);
+//     const LogRateLimiter::Decision decision = limiter.admit("run.ended", now);
 //
-// Thread safety: every function may be called from any thread. Cost: one look-up under a lock.
+// Thread safety: every function may be called from any thread. Cost: one lookup under a lock.
 
 #ifndef PADDLEPIER_BASE_LOGRATELIMITER_H
 #define PADDLEPIER_BASE_LOGRATELIMITER_H
@@ -29,7 +29,7 @@
 public:
     struct Decision {
         bool isAllowed = true;
-        /** Lines of the event that were left out in an earlier second and not told yet. */
+        /** Lines of the event that were suppressed in an earlier second and not reported yet. */
         std::int64_t suppressedLines = 0;
     };
 
--- a/paddlepier/base/logratelimiter_test.cpp
+++ b/paddlepier/base/logratelimiter_test.cpp
@@ -1,4 +1,4 @@
-// Lines a second of one event, and the count of those left out.
+// Limit of lines per event and second, and the count of suppressed lines.
 
 #include "paddlepier/base/logratelimiter.h"
 
@@ -10,34 +10,34 @@
 namespace
 {
 
-class LineBudgetFixture
+class LogRateLimiterFixture
 {
 public:
     Timestamp now = absl::UnixEpoch() + absl::Hours(1);
-    LogRateLimiter budget{3};
+    LogRateLimiter limiter{3};
 };
 
 } // namespace
 
-TEST_CASE_METHOD(LineBudgetFixture, "event_overItsBudget_isLeftOutAndToldInTheNextSecond")
+TEST_CASE_METHOD(LogRateLimiterFixture, "event_overItsLimit_isSuppressedAndReportedInTheNextSecond")
 {
     for (int line = 0; line < 3; ++line) {
-        CHECK(this->budget.admit("a", this->now).isAllowed);
+        CHECK(this->limiter.admit("a", this->now).isAllowed);
     }
-    CHECK_FALSE(this->budget.admit("a", this->now + absl::Milliseconds(500)).isAllowed);
-    CHECK_FALSE(this->budget.admit("a", this->now + absl::Milliseconds(999)).isAllowed);
-    const LogRateLimiter::Decision next = this->budget.admit("a", this->now + absl::Seconds(1));
+    CHECK_FALSE(this->limiter.admit("a", this->now + absl::Milliseconds(500)).isAllowed);
+    CHECK_FALSE(this->limiter.admit("a", this->now + absl::Milliseconds(999)).isAllowed);
+    const LogRateLimiter::Decision next = this->limiter.admit("a", this->now + absl::Seconds(1));
     CHECK(next.isAllowed);
     CHECK(next.suppressedLines == 2);
-    CHECK(this->budget.admit("a", this->now + absl::Seconds(3)).suppressedLines == 0);
+    CHECK(this->limiter.admit("a", this->now + absl::Seconds(3)).suppressedLines == 0);
 }
 
-TEST_CASE_METHOD(LineBudgetFixture, "event_besideAnotherOverItsBudget_isAllowed")
+TEST_CASE_METHOD(LogRateLimiterFixture, "event_besideAnotherOverItsLimit_isAllowed")
 {
     for (int line = 0; line < 10; ++line) {
-        this->budget.admit("a", this->now);
+        this->limiter.admit("a", this->now);
     }
-    CHECK(this->budget.admit("b", this->now).isAllowed);
+    CHECK(this->limiter.admit("b", this->now).isAllowed);
 }
 
 } // namespace paddlepier
--- a/paddlepier/base/mailbox.h
+++ b/paddlepier/base/mailbox.h
@@ -1,9 +1,9 @@
-// Bounded queue of work for one thread.
+// Bounded work queue of one thread.
 //
-// Any thread posts; one thread takes everything that is there in one step. A full mailbox refuses instead of growing,
-// so that overload shows at the sender.
+// Any thread posts; the owner drains all queued items at once. A full mailbox refuses items instead of growing, so that the sender
+// notices the overload.
 //
-// Thread safety: post(), close() from any thread; take() from the owner alone.
+// Thread safety: post(), postUnbounded() and close() from any thread; drain() from the owning thread only.
 
 #ifndef PADDLEPIER_BASE_MAILBOX_H
 #define PADDLEPIER_BASE_MAILBOX_H
@@ -21,18 +21,18 @@
 namespace paddlepier
 {
 
-/** Mailbox of closures; take() is O(1) plus the moved items. */
+/** Mailbox of closures; drain() is O(1) plus the moved items. */
 class Mailbox
 {
 public:
     using Work = std::function<void()>;
 
-    explicit Mailbox(std::size_t maximum)
-        : limit(maximum)
+    explicit Mailbox(std::size_t maxItems)
+        : limit(maxItems)
     {
     }
 
-    /** @return false if the mailbox is full or closed; @p work is then dropped. */
+    /** @return false if the mailbox is full or closed; @p work is then discarded */
     bool post(Work work)
     {
         const absl::MutexLock lock(&this->mutex);
@@ -43,7 +43,7 @@
         return true;
     }
 
-    /** Like post(), beyond the limit: for completions, whose number the sender has bounded already. */
+    /** Like post(), but ignores the limit. For completions, whose number is bounded by the operations that the sender started. */
     void postUnbounded(Work work)
     {
         const absl::MutexLock lock(&this->mutex);
@@ -52,15 +52,15 @@
         }
     }
 
-    /** Waits up to @p patience for work; empty after a timeout or close(). */
-    std::vector<Work> drain(Duration patience)
+    /** Waits for at most @p timeout for work and returns all of it; empty after a timeout or close(). */
+    std::vector<Work> drain(Duration timeout)
     {
-        std::vector<Work> taken;
+        std::vector<Work> drained;
         const absl::MutexLock lock(&this->mutex);
-        const auto ready = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(this->mutex) { return this->closed || !this->items.empty(); };
-        this->mutex.AwaitWithTimeout(absl::Condition(&ready), patience);
-        taken.swap(this->items);
-        return taken;
+        const auto isReady = [this]() ABSL_EXCLUSIVE_LOCKS_REQUIRED(this->mutex) { return this->closed || !this->items.empty(); };
+        this->mutex.AwaitWithTimeout(absl::Condition(&isReady), timeout);
+        drained.swap(this->items);
+        return drained;
     }
 
     void close()
@@ -71,7 +71,7 @@
 
 private:
     absl::Mutex mutex;
-    // Invariant: grows past `limit` only by postAlways().
+    // Invariant: exceeds `limit` only through postUnbounded().
     std::vector<Work> items ABSL_GUARDED_BY(mutex);
     bool closed ABSL_GUARDED_BY(mutex) = false;
     const std::size_t limit;
--- a/paddlepier/base/suspension.cpp
+++ b/paddlepier/base/suspension.cpp
@@ -1,4 +1,4 @@
-// Notices that the machine was suspended.
+// Detects suspensions of the machine.
 
 #include "paddlepier/base/suspension.h"
 
--- a/paddlepier/base/suspension.h
+++ b/paddlepier/base/suspension.h
@@ -1,13 +1,13 @@
-// Notices that the machine was suspended.
+// Detects suspensions of the machine.
 //
-// Control time counts a suspension, so that promises age with it; all that waited for an answer is late at once, though, and the
-// lines of a process should say why. A watch compares how long the machine has been suspended in all with what it saw before.
+// Control time includes suspensions, so that leases age during them. Afterwards all pending requests time out at once, and the log has to
+// show the reason. The detector compares the total suspended time of the machine with the total at its previous update.
 //
 // Example:
-//     SuspensionReport report(counters);
-//     report.look(); // in each step of the control thread
+//     SuspensionReporter reporter(counters);
+//     reporter.check(); // in each step of the control thread
 //
-// Thread safety: none; owned by the control thread. Cost: two reads of a clock for each look.
+// Thread safety: none; owned by the control thread. Cost: two clock reads per check().
 
 #ifndef PADDLEPIER_BASE_SUSPENSION_H
 #define PADDLEPIER_BASE_SUSPENSION_H
@@ -21,34 +21,35 @@
 class SuspensionDetector
 {
 public:
-    explicit SuspensionDetector(Duration inAll)
-        : lastTotal(inAll)
+    explicit SuspensionDetector(Duration total)
+        : lastTotal(total)
     {
     }
 
-    /** @return how long the machine was suspended since the last look; zero if it wasn't */
-    Duration update(Duration inAll)
+    /** @return the time for which the machine was suspended since the previous update; zero if it wasn't */
+    Duration update(Duration total)
     {
-        // The two clocks are read one after the other.
-        constexpr Duration noticeable = absl::Milliseconds(20);
-        const Duration since = inAll - this->lastTotal;
-        if (since < noticeable) {
+        // The two clocks behind the total are not read at the same instant, which makes small differences meaningless.
+        constexpr Duration minSuspension = absl::Milliseconds(20);
+        const Duration suspended = total - this->lastTotal;
+        if (suspended < minSuspension) {
             return absl::ZeroDuration();
         }
-        this->lastTotal = inAll;
-        return since;
+        this->lastTotal = total;
+        return suspended;
     }
 
 private:
     Duration lastTotal;
 };
 
-/** Writes a line, and counts, when the machine was suspended since the last look. */
+/** Logs and counts suspensions of the machine. */
 class SuspensionReporter
 {
 public:
     explicit SuspensionReporter(Counters &counters);
 
+    /** Reports a suspension since the previous call. */
     void check();
 
 private:
