--- a/paddlepier/replication/diskwriter.cpp
+++ b/paddlepier/replication/diskwriter.cpp
@@ -1,4 +1,4 @@
-// The thread that writes replicas' logs and snapshots.
+// Thread that writes the logs and snapshots of replicas.
 
 #include "paddlepier/replication/diskwriter.h"
 
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr Duration pollTime = absl::Milliseconds(200);
+constexpr Duration pollInterval = absl::Milliseconds(200);
 
 /** Exit status after a failed write; see docs/OPERATIONS.md. */
 constexpr int storageFailureStatus = 5;
@@ -47,7 +47,7 @@
 void DiskWriter::run()
 {
     while (true) {
-        const std::vector<Mailbox::Work> batch = this->jobs.drain(pollTime);
+        const std::vector<Mailbox::Work> batch = this->jobs.drain(pollInterval);
         if (batch.empty() && this->stopping) {
             return;
         }
--- a/paddlepier/replication/diskwriter.h
+++ b/paddlepier/replication/diskwriter.h
@@ -1,10 +1,10 @@
-// The thread that writes replicas' logs and snapshots.
+// Thread that writes the logs and snapshots of replicas.
 //
-// Jobs are done in the order in which they were given. A failed write ends the process: what is on disk is then not
-// known, and a replica must not go on as if it were.
+// Writes are executed in the order of submission. A failed write terminates the process: the state on disk is then unknown, and a replica
+// that continued could acknowledge entries that are not durable.
 //
 // Example:
-//     writer.submit([&store, job] { store.append(...); }, [] { /* on the control thread */ });
+//     writer.submit([&store, entries] { store.append(...); }, [] { /* on the control thread */ });
 //
 // Thread safety: submit() from the control thread; completions are posted to the mailbox given to the constructor.
 
@@ -33,7 +33,7 @@
     /** Runs @p write on the disk thread, then posts @p completed. */
     void submit(std::function<void()> write, std::function<void()> completed);
 
-    /** Finishes what was submitted, then ends the thread. */
+    /** Completes all submitted writes, then ends the thread. */
     void stop();
 
 private:
--- a/paddlepier/replication/replicanode.h
+++ b/paddlepier/replication/replicanode.h
@@ -1,9 +1,9 @@
-// One replica of a replicated state machine: consensus core, state, disk and peers tied together.
+// One replica of a replicated state machine: connects the consensus core with the state machine, the disk and the peers.
 //
-// Proposals are written in groups: while a write is under way, everything that comes in waits for the next one and shares
-// its sync. The node also sees to it that the group is formed once, and that a replica whose folder was lost comes back as
-// a new one: first as a learner, then, when it holds the whole log durably, as a voter in the place of the old one. Where
-// instances are found at run time, a new instance may take the place of one that has been silent.
+// Writes are batched: entries that arrive during a write are written together by the next one and share its sync. The node also ensures
+// that the group is bootstrapped only once, and that a replica whose folder was lost rejoins under a new identity: as a learner first, and as
+// a voter in place of the old replica once it stores the complete log durably. With acceptsNewInstances, a new instance may also replace a
+// voter that has been unresponsive.
 //
 // Example:
 //     ReplicaNode<MyState> node(options, disk, send, counters, now, seed);
@@ -37,7 +37,7 @@
 namespace paddlepier::replication
 {
 
-/** A deterministic state machine that a group of replicas applies in log order. */
+/** Deterministic state machine to which all replicas of a group apply the log in order. */
 template<typename State>
 concept ReplicatedState = std::default_initializable<State> && requires(State state, const State constState, std::vector<std::uint8_t> bytes, std::string text)
 {
@@ -49,7 +49,7 @@
         constState.snapshot()
         } -> std::convertible_to<std::string>;
     state.restore(text);
-    /** True once any command has been applied. */
+    /** True once a command has been applied. */
     {
         constState.hasHistory()
         } -> std::convertible_to<bool>;
@@ -60,14 +60,14 @@
 
 struct GroupOptions {
     std::string name;
-    /** Folder of this replica alone. */
+    /** Folder used by this replica only. */
     std::string folder;
     std::string instance;
-    /** Instances that hold the first replicas; the first of them forms the group. */
+    /** Instances of the initial replicas; the first of them bootstraps the group. */
     std::vector<std::string> initialInstances;
-    /** False where the group is known to exist, as after the loss of a disk. */
+    /** False if the group is known to exist, for example after the loss of a disk: bootstrapping again would create a second group. */
     bool mayBootstrap = true;
-    /** Instances other than initialInstances() may join. */
+    /** Whether instances outside `initialInstances` may join. */
     bool acceptsNewInstances = false;
     consensus::Admission::Limits admission;
     Duration heartbeatInterval;
@@ -78,13 +78,13 @@
 namespace detail
 {
 
-/** Pause between two requests to join; a few round trips and a sync. */
+/** Interval between join requests; covers a few round trips and a sync. */
 constexpr Duration joinInterval = absl::Milliseconds(300);
 
-/** A voter that has heard no leader for this long asks whether it still is one: twice the longest election. */
+/** A voter without contact to a leader for this long requests membership again, as it may have been removed: twice the longest election. */
 constexpr Duration leaderContactTimeout = absl::Seconds(2);
 
-/** Log entries after which a snapshot is taken. */
+/** Length of the log, in entries, at which a snapshot replaces it. */
 constexpr std::size_t entriesPerSnapshot = 8192;
 
 inline bool containsName(const std::vector<std::string> &names, const std::string &name)
@@ -112,34 +112,34 @@
     using Outcome = typename State::Outcome;
     using Completed = std::function<void(const Outcome &)>;
 
-    /** @throws CorruptLogError, ForeignDataFolderError, StorageFailureError as ReplicaStore */
+    /** @throws CorruptLogError, ForeignDataFolderError, StorageFailureError  under the same conditions as ReplicaStore */
     ReplicaNode(GroupOptions groupOptions, DiskWriter &diskWriter, Send frameSender, Counters &counters, Timestamp now, std::uint64_t seed);
 
     void receive(Timestamp at, wire::PeerFrameT frame);
     void tick(Timestamp at);
-    /** Sends, writes and applies what has come up; call it after every batch of events. */
+    /** Sends pending messages, starts pending writes and applies committed entries. Call it after every batch of events. */
     void flush(Timestamp at);
 
     /**
-     * Proposes a command. @p completed gets the outcome when it is applied, or a failure: NotLeader if this replica
-     * doesn't lead, Timeout if it stopped leading, in which case the command may still be applied later.
+     * Proposes a command. @p completed is called with the outcome when the command is applied, or with a failure: NotLeader if this replica
+     * is not the leader, Timeout if it lost leadership, in which case the command may still be applied later.
      */
     void proposeBytes(const std::string &command, Completed completed);
 
-    /** True if this replica may answer from its state: it leads, has caught up, and no other can lead now. */
+    /** Whether this replica may serve reads from its state: it is the leader, holds the leader lease, and has applied all earlier terms. */
     bool isServing(Timestamp at) const;
-    /** Instance of the leader, if it is known. */
+    /** Instance of the leader; empty if unknown. */
     std::string leaderInstance() const;
-    /** Instances that hold a replica, and others that were named by addPeer(). */
+    /** Instances of all members of the group, and those added by addPeer(). */
     std::vector<std::string> knownInstances() const;
-    /** Names an instance that may hold a replica. */
+    /** Adds an instance that may hold a replica. */
     void addPeer(const std::string &instance);
 
     const std::string &name() const;
     State &state();
     const consensus::Replica &replica() const;
 
-    /** Gives leadership to another replica, if this one leads. */
+    /** Transfers leadership to another replica, if this one is the leader. */
     void transferLeadership(Timestamp at);
 
 private:
@@ -175,10 +175,10 @@
     std::unique_ptr<consensus::Replica> core;
     State stateMachine;
     consensus::Index appliedIndex = 0;
-    /** Newest term in which this replica led with everything of earlier terms applied. */
+    /** Newest term in which this replica was the leader and had applied all entries of earlier terms. */
     consensus::Term appliedTerm = 0;
 
-    // Invariant: keys are indexes of this leader's own entries that are not applied yet.
+    // Invariant: the keys are indexes of entries that this leader proposed and that are not applied yet.
     std::map<consensus::Index, Proposal> proposals;
     std::map<consensus::Index, Timestamp> proposedAt;
     PendingWrite pendingWrite;
--- a/paddlepier/replication/replicanode_detail.h
+++ b/paddlepier/replication/replicanode_detail.h
@@ -1,4 +1,4 @@
-// Function bodies of ReplicaNode; included by replicanode.h alone.
+// Member functions of ReplicaNode; included only by replicanode.h.
 
 #ifndef PADDLEPIER_REPLICATION_REPLICANODE_DETAIL_H
 #define PADDLEPIER_REPLICATION_REPLICANODE_DETAIL_H
@@ -32,8 +32,8 @@
         this->stateMachine.restore(wire::toString(this->core->currentSnapshot()->data));
         this->appliedIndex = this->core->currentSnapshot()->index;
     }
-    for (const std::string &founder : this->options.initialInstances) {
-        this->addPeer(founder);
+    for (const std::string &initialInstance : this->options.initialInstances) {
+        this->addPeer(initialInstance);
     }
     log::info("ledger", "replica.opened", {{"ledger", this->options.name}, {"replica", this->store->identity()}, {"lastIndex", this->core->lastIndex()}});
 }
@@ -65,15 +65,15 @@
 template<ReplicatedState State>
 std::vector<std::string> ReplicaNode<State>::knownInstances() const
 {
-    std::set<std::string> known = this->peers;
+    std::set<std::string> instances = this->peers;
     for (const std::string &replica : this->core->membership().voters) {
-        known.insert(consensus::instanceOf(replica));
+        instances.insert(consensus::instanceOf(replica));
     }
     for (const std::string &replica : this->core->membership().learners) {
-        known.insert(consensus::instanceOf(replica));
+        instances.insert(consensus::instanceOf(replica));
     }
-    known.insert(this->options.instance);
-    return {known.begin(), known.end()};
+    instances.insert(this->options.instance);
+    return {instances.begin(), instances.end()};
 }
 
 template<ReplicatedState State>
@@ -93,12 +93,12 @@
 template<ReplicatedState State>
 bool ReplicaNode<State>::isServing(Timestamp at) const
 {
-    // A new group accepts nothing before all its replicas vote: until then one lost instance would stop it, and one lost
-    // disk could lose what it accepted. Later on it serves through repairs.
-    const bool isFormed = this->stateMachine.hasHistory() || this->core->membership().voters.size() >= this->options.initialInstances.size();
-    // Entries of earlier terms count as committed before flush() applies them: a state read in between lacks them.
+    // A new group serves only once all initial replicas vote: before that, the loss of one instance would stop it and the loss of one disk
+    // could lose accepted commands. Once it has history, it continues to serve while replicas are replaced.
+    const bool isBootstrapped = this->stateMachine.hasHistory() || this->core->membership().voters.size() >= this->options.initialInstances.size();
+    // Entries of earlier terms are committed before flush() applies them; a read in between would miss them.
     const bool hasApplied = this->appliedTerm == this->core->currentTerm();
-    return isFormed && hasApplied && this->core->isCaughtUpLeader() && this->core->hasLeaderLease(at);
+    return isBootstrapped && hasApplied && this->core->isCaughtUpLeader() && this->core->hasLeaderLease(at);
 }
 
 template<ReplicatedState State>
@@ -122,7 +122,7 @@
         this->receiveJoinReply(frame.fromInstance, *reply);
         return;
     }
-    // A frame to an earlier replica of this instance must not reach the new one, nor one in another instance's name.
+    // Rejects frames for an earlier replica of this instance, and frames sent in the name of another instance's replica.
     if (frame.toReplica != this->store->identity() || consensus::instanceOf(frame.fromReplica) != frame.fromInstance) {
         return;
     }
@@ -137,8 +137,8 @@
     if (!this->core->leader().empty()) {
         this->leaderSeenAt = at;
     }
-    const bool mayBeRemoved = this->options.acceptsNewInstances && at - this->leaderSeenAt > detail::leaderContactTimeout;
-    if (!this->isVoter() || mayBeRemoved) {
+    const bool mayHaveBeenRemoved = this->options.acceptsNewInstances && at - this->leaderSeenAt > detail::leaderContactTimeout;
+    if (!this->isVoter() || mayHaveBeenRemoved) {
         this->requestMembership(at);
     }
     this->admission.advance(*this->core, at);
@@ -176,16 +176,16 @@
 template<ReplicatedState State>
 void ReplicaNode<State>::bootstrapIfAllAgree(Timestamp at)
 {
-    // Only the first instance of the list forms the group, and only when every other one has said that there is none.
-    const std::vector<std::string> &founders = this->options.initialInstances;
-    if (!this->options.mayBootstrap || founders.empty() || founders.front() != this->options.instance || this->core->isMember()) {
+    // Only the first initial instance bootstraps the group, and only after every other one has replied that it belongs to no group.
+    const std::vector<std::string> &initialInstances = this->options.initialInstances;
+    if (!this->options.mayBootstrap || initialInstances.empty() || initialInstances.front() != this->options.instance || this->core->isMember()) {
         return;
     }
-    const auto saysNo = [this](const std::string &founder) {
-        const auto answer = this->hasGroupByInstance.find(founder);
-        return founder == this->options.instance || (answer != this->hasGroupByInstance.end() && !answer->second);
+    const auto hasNoGroup = [this](const std::string &initialInstance) {
+        const auto answer = this->hasGroupByInstance.find(initialInstance);
+        return initialInstance == this->options.instance || (answer != this->hasGroupByInstance.end() && !answer->second);
     };
-    if (std::all_of(founders.begin(), founders.end(), saysNo)) {
+    if (std::all_of(initialInstances.begin(), initialInstances.end(), hasNoGroup)) {
         log::warning("ledger", "group.formed", {{"ledger", this->options.name}, {"replica", this->store->identity()}});
         this->core->bootstrapGroup(at);
     }
@@ -229,7 +229,7 @@
 {
     const std::optional<consensus::Index> index = this->core->propose(command);
     if (!index) {
-        completed(State::failure(ErrorCode::NotLeader, "this replica does not lead"));
+        completed(State::failure(ErrorCode::NotLeader, "this replica is not the leader"));
         return;
     }
     this->proposals[*index] = {this->core->currentTerm(), std::move(completed)};
@@ -242,9 +242,9 @@
     std::map<consensus::Index, Proposal> failed;
     failed.swap(this->proposals);
     this->proposedAt.clear();
-    const Outcome lost = State::failure(ErrorCode::Timeout, "leadership was lost before the change was agreed on; it may still be made");
+    const Outcome failure = State::failure(ErrorCode::Timeout, "leadership was lost before the command was committed; it may still be applied");
     for (auto &[index, proposal] : failed) {
-        proposal.completed(lost);
+        proposal.completed(failure);
     }
 }
 
@@ -349,7 +349,7 @@
         return;
     }
     if (proposal->second.term != entry.term) {
-        outcome = State::failure(ErrorCode::Timeout, "another leader's change was agreed on instead");
+        outcome = State::failure(ErrorCode::Timeout, "an entry of another leader was committed at this index instead");
     }
     this->commitTimes.record(this->now - this->proposedAt[entry.index]);
     this->proposedAt.erase(entry.index);
--- a/paddlepier/replication/replicanode_test.cpp
+++ b/paddlepier/replication/replicanode_test.cpp
@@ -1,4 +1,5 @@
-// A replica node over a real folder and a real disk thread.
+// A replica node with a real folder and disk thread. Guards against a new leader that serves reads before it has applied the entries of
+// earlier terms, which happens between the completion of a write and the next flush().
 
 #include "paddlepier/replication/replicanode.h"
 
@@ -16,7 +17,7 @@
 namespace
 {
 
-/** Counts what was applied. */
+/** State machine that counts the applied commands. */
 class CountingState
 {
 public:
@@ -53,7 +54,7 @@
     int count = 0;
 };
 
-/** One node that is a group of its own; time moves only when the test moves it. */
+/** Single-replica group; time advances only in runUntil(). */
 class ReplicaNodeFixture
 {
 public:
@@ -87,7 +88,7 @@
             options, this->disk, [](const std::string &, const wire::PeerFrameT &) {}, this->counters, this->now, 7);
     }
 
-    /** Waits for the disk and runs what it posted, without flushing the node. */
+    /** Waits for the disk thread and runs its completions, without flushing the node. */
     void finishWrites()
     {
         for (const Mailbox::Work &work : this->mailbox.drain(absl::Milliseconds(20))) {
@@ -95,7 +96,7 @@
         }
     }
 
-    /** @return false if the condition never came in a minute of the node's time */
+    /** @return false if the condition was not met within a minute of node time */
     template<typename Condition>
     bool runUntil(Condition isMet)
     {
@@ -118,7 +119,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(ReplicaNodeFixture, "serving_beforeEarlierTermsAreApplied_isRefused")
+TEST_CASE_METHOD(ReplicaNodeFixture, "isServing_beforeEarlierTermsAreApplied_isFalse")
 {
     REQUIRE(this->runUntil([this] { return this->node->isServing(this->now); }));
     int applied = 0;
@@ -128,7 +129,7 @@
     REQUIRE(this->runUntil([&applied] { return applied == 5; }));
     this->open();
     const auto servesOrHasApplied = [this] { return this->node->isServing(this->now) || this->node->state().count > 0; };
-    // The write's completion advances the commit index; the entries are applied by the flush after it.
+    // The completion of the write advances the commit index; the next flush() applies the entries.
     REQUIRE(this->runUntil(servesOrHasApplied));
     CHECK(this->node->state().count == 5);
 }
--- a/paddlepier/storage/framefile.cpp
+++ b/paddlepier/storage/framefile.cpp
@@ -24,7 +24,7 @@
 {
 
 constexpr std::uint32_t frameMagic = 0x50445046;
-constexpr std::uint32_t longestPayload = 256U << 20U;
+constexpr std::uint32_t maxPayloadBytes = 256U << 20U;
 
 struct FrameHeader {
     std::uint32_t magic;
@@ -42,7 +42,7 @@
     return XXH3_64bits_withSeed(payload.data(), payload.size(), length);
 }
 
-/** Payload of an intact frame at @p offset. */
+/** Payload of the frame at @p offset; empty optional if there is no intact one. */
 std::optional<std::string_view> frameAt(std::string_view content, std::size_t offset)
 {
     if (content.size() - offset < sizeof(FrameHeader)) {
@@ -51,7 +51,7 @@
     FrameHeader header{};
     std::memcpy(&header, content.data() + offset, sizeof(header));
     const std::string_view rest = content.substr(offset + sizeof(header));
-    if (header.magic != frameMagic || header.length > longestPayload || header.length > rest.size()) {
+    if (header.magic != frameMagic || header.length > maxPayloadBytes || header.length > rest.size()) {
         return std::nullopt;
     }
     const std::string_view payload = rest.substr(0, header.length);
@@ -178,7 +178,7 @@
     const std::string content = readFile(this->filePath);
     FrameScan scan = scanFrames(content);
     if (scan.hasInteriorDamage) {
-        throw CorruptLogError(absl::StrCat(this->filePath, ": damaged at byte ", scan.intactBytes, " before intact frames"));
+        throw CorruptLogError(absl::StrCat(this->filePath, ": damaged frame at byte ", scan.intactBytes, ", followed by intact frames"));
     }
     this->torn = content.size() - scan.intactBytes;
     if (this->torn > 0 && ::ftruncate(this->descriptor, static_cast<off_t>(scan.intactBytes)) != 0) {
--- a/paddlepier/storage/framefile.h
+++ b/paddlepier/storage/framefile.h
@@ -1,14 +1,14 @@
 // Append-only file of checksummed frames.
 //
-// A frame is written whole or counts as not written: its header carries the payload's length and a checksum over both.
-// On opening, damage that no intact frame follows is the torn end of the last write and is cut off; damage before an
-// intact frame can't come from a torn write and is refused with CorruptLogError.
+// Frames are atomic: the header holds the payload's length and a checksum over both, so that a partly written frame is detected. On opening,
+// damage that is not followed by an intact frame is treated as a torn last write and truncated. Damage before an intact frame can't result
+// from a torn write and is refused with CorruptLogError.
 //
 // Guarantee: after sync() returns, every frame appended before it survives a crash of the machine.
 //
 // Example:
-//     FrameFile file(path);                       // creates it if it's missing
-//     for (const std::string &frame : file.takeRecovered()) { replay(frame); }
+//     FrameFile file(path); // creates it if it is missing
+//     for (const std::string &frame : file.releaseRecovered()) { replay(frame); }
 //     file.append(bytes);
 //     file.sync();
 //
@@ -26,15 +26,15 @@
 namespace paddlepier::storage
 {
 
-/** Owner of one open frame file; append() buffers, sync() writes and syncs. */
+/** One open frame file. append() buffers; sync() writes the buffer and syncs. */
 class FrameFile
 {
 public:
     /**
      * Opens or creates the file at @p path and reads all frames, O(file size).
      *
-     * @throws CorruptLogError if a damaged frame stands before an intact one
-     * @throws StorageFailureError if the file can't be opened, read or cut
+     * @throws CorruptLogError if a damaged frame precedes an intact one
+     * @throws StorageFailureError if the file can't be opened, read or truncated
      */
     explicit FrameFile(const std::string &path);
     ~FrameFile();
@@ -42,18 +42,18 @@
     FrameFile(const FrameFile &) = delete;
     FrameFile &operator=(const FrameFile &) = delete;
 
-    /** Frames found on opening; the second call gives none. */
+    /** Returns the frames found on opening and releases them; later calls return none. */
     std::vector<std::string> releaseRecovered();
 
-    /** Bytes of a torn last write that opening cut off. */
+    /** Size of the torn last write that was truncated on opening. */
     std::size_t tornBytes() const;
 
     void append(std::string_view payload);
 
-    /** @throws StorageFailureError if writing or syncing fails; the file must then not be used any more */
+    /** @throws StorageFailureError if writing or syncing fails; the file must not be used afterwards */
     void sync();
 
-    /** Bytes written, without what is still buffered. */
+    /** Bytes written; buffered frames are not included. */
     std::uint64_t size() const;
 
 private:
@@ -67,16 +67,16 @@
     std::uint64_t written = 0;
 };
 
-/** Writes @p content to a new file, syncs it, renames it to @p path and syncs the folder. */
+/** Replaces the file at @p path atomically: writes and syncs a new file, renames it, and syncs the folder. */
 void replaceFile(const std::string &path, std::string_view content);
 
-/** Syncs a folder, so that created and renamed names in it survive a crash. */
+/** Syncs a folder, so that files created or renamed in it survive a crash. */
 void syncFolder(const std::string &folder);
 
-/** The whole file. @throws StorageFailureError if it can't be read */
+/** @return the content of a file. @throws StorageFailureError if it can't be read */
 std::string readFile(const std::string &path);
 
-/** Frames in @p content as a FrameFile would recover them, and the length of the intact part. */
+/** Result of scanFrames(): the frames that FrameFile would recover, and the length of the intact part. */
 struct FrameScan {
     std::vector<std::string> frames;
     std::size_t intactBytes = 0;
@@ -85,7 +85,7 @@
 };
 FrameScan scanFrames(std::string_view content);
 
-/** One frame as it stands in a file. */
+/** Encodes one frame as stored in a file. */
 std::string encodeFrame(std::string_view payload);
 
 } // namespace paddlepier::storage
--- a/paddlepier/storage/replicastore.cpp
+++ b/paddlepier/storage/replicastore.cpp
@@ -39,7 +39,7 @@
     return wire::pack(record);
 }
 
-/** Adds an entry in log order: it replaces all entries with its index or a greater one. */
+/** Appends an entry, replacing all entries with its index or a greater one. */
 void replay(wire::LogRecordT entry, std::vector<wire::LogRecordT> &entries)
 {
     while (!entries.empty() && entries.back().index >= entry.index) {
@@ -53,17 +53,17 @@
 
 } // namespace
 
-ReplicaStore::ReplicaStore(const std::string &folder, const std::string &instance, std::uint64_t mintedNumber)
+ReplicaStore::ReplicaStore(const std::string &folder, const std::string &instance, std::uint64_t randomNumber)
     : folderPath(folder)
 {
-    std::error_code failure;
-    std::filesystem::create_directories(folder, failure);
-    if (failure) {
-        throw StorageFailureError(absl::StrCat("create folder ", folder, ": ", failure.message()));
+    std::error_code error;
+    std::filesystem::create_directories(folder, error);
+    if (error) {
+        throw StorageFailureError(absl::StrCat("create folder ", folder, ": ", error.message()));
     }
     this->lockFolder();
     try {
-        this->loadIdentity(instance, mintedNumber);
+        this->loadIdentity(instance, randomNumber);
         this->recover();
     } catch (...) {
         ::close(this->lockDescriptor);
@@ -93,14 +93,14 @@
     }
 }
 
-void ReplicaStore::loadIdentity(const std::string &instance, std::uint64_t mintedNumber)
+void ReplicaStore::loadIdentity(const std::string &instance, std::uint64_t randomNumber)
 {
     const std::string path = this->pathOf(identityName);
     if (!std::filesystem::exists(path)) {
         if (std::filesystem::exists(this->pathOf(logName))) {
             throw CorruptLogError(absl::StrCat(this->folderPath, " has a log but no identity"));
         }
-        replaceFile(path, absl::StrCat(instance, "/", absl::Hex(mintedNumber, absl::kZeroPad16)));
+        replaceFile(path, absl::StrCat(instance, "/", absl::Hex(randomNumber, absl::kZeroPad16)));
     }
     this->replicaIdentity = readFile(path);
     if (!absl::StartsWith(this->replicaIdentity, absl::StrCat(instance, "/"))) {
@@ -114,7 +114,7 @@
     if (std::filesystem::exists(snapshotPath)) {
         const FrameScan scan = scanFrames(readFile(snapshotPath));
         if (scan.frames.size() != 1) {
-            throw CorruptLogError(absl::StrCat(snapshotPath, ": damaged"));
+            throw CorruptLogError(absl::StrCat(snapshotPath, ": damaged snapshot, expected exactly one intact frame"));
         }
         this->recovered.snapshot = std::make_shared<const wire::SnapshotHeaderT>(wire::unpack<wire::SnapshotHeaderT>(scan.frames.front()));
     }
@@ -156,8 +156,8 @@
 
 void ReplicaStore::saveSnapshot(const wire::SnapshotHeaderT &snapshot, const wire::HardStateT &hardState, const std::vector<wire::LogRecordT> &entries)
 {
-    // The snapshot comes first: with the old log behind it the state is the same, since entries that it covers are
-    // skipped on recovery.
+    // The snapshot is written first: a crash before the log is replaced leaves the same state, since recovery skips entries that the
+    // snapshot covers.
     replaceFile(this->pathOf(snapshotName), encodeFrame(wire::pack(snapshot)));
     std::string content = encodeFrame(packStored(hardState));
     for (const wire::LogRecordT &entry : entries) {
--- a/paddlepier/storage/replicastore.h
+++ b/paddlepier/storage/replicastore.h
@@ -1,18 +1,18 @@
 // Durable state of one replica in its own folder.
 //
-// The folder holds the replica's identity, at most one snapshot and one log file. The identity is minted with the
-// folder: an emptied folder makes a new replica, which can't vote under the old one's name. A folder that belongs to
-// another instance, or that another process has open, is refused.
+// The folder holds the identity of the replica, at most one snapshot, and one log file. The identity is generated with the folder: an emptied
+// folder becomes a new replica, which can't vote under the old identity. A folder that belongs to another instance or is locked by another
+// process is refused.
 //
-// Guarantee: what append() or saveSnapshot() was given is durable when it returns. A crash in between leaves the state
-// before or after the call, never a mixture.
+// Guarantee: data passed to append() or saveSnapshot() is durable when the call returns. A crash during the call leaves the state before or
+// after it, never a mixture.
 //
 // Example:
-//     ReplicaStore store(folder, "atlanta-1-a", mintedNumber);
-//     replica.restore(store.takeRecovered());
+//     ReplicaStore store(folder, "atlanta-1-a", randomNumber);
+//     replica.restore(store.releaseRecovered());
 //     store.append(hardState, entries);
 //
-// Thread safety: none; owned by the disk thread once it runs.
+// Thread safety: none; used only by the disk thread once that runs.
 
 #ifndef PADDLEPIER_STORAGE_REPLICASTORE_H
 #define PADDLEPIER_STORAGE_REPLICASTORE_H
@@ -29,48 +29,48 @@
 namespace paddlepier::storage
 {
 
-/** Everything a replica knew durably. */
+/** Durable state of a replica, as read on opening. */
 struct RecoveredState {
     wire::HardStateT hardState;
     std::shared_ptr<const wire::SnapshotHeaderT> snapshot;
-    /** Consecutive indexes; the first one follows the snapshot or lies within it. */
+    /** Entries with consecutive indexes; the first one is covered by the snapshot or follows it directly. */
     std::vector<wire::LogRecordT> entries;
 };
 
-/** Folder of one replica. append() costs one sync for any number of entries. */
+/** Store of one replica. append() costs one sync for any number of entries. */
 class ReplicaStore
 {
 public:
     /**
      * Opens or creates the folder.
      *
-     * @param mintedNumber random number that becomes part of a new replica's identity
+     * @param randomNumber  becomes part of the identity if the folder is new
      * @throws ForeignDataFolderError if the folder belongs to another instance or is in use
-     * @throws CorruptLogError, StorageFailureError as FrameFile
+     * @throws CorruptLogError, StorageFailureError under the same conditions as FrameFile
      */
-    ReplicaStore(const std::string &folder, const std::string &instance, std::uint64_t mintedNumber);
+    ReplicaStore(const std::string &folder, const std::string &instance, std::uint64_t randomNumber);
     ~ReplicaStore();
 
     ReplicaStore(const ReplicaStore &) = delete;
     ReplicaStore &operator=(const ReplicaStore &) = delete;
 
-    /** `instance/number`; the same over restarts, another one after the folder was lost. */
+    /** `instance/number`; stable across restarts, and new after the folder was lost. */
     const std::string &identity() const;
 
     RecoveredState releaseRecovered();
 
-    /** Writes a changed hard state, if given, and entries; an entry replaces all with its index or a greater one. */
+    /** Writes the hard state, unless null, and entries. An entry replaces all stored entries with its index or a greater one. */
     void append(const wire::HardStateT *hardState, const std::vector<wire::LogRecordT> &entries);
 
-    /** Replaces the log by a snapshot, the hard state and the entries that follow the snapshot. */
+    /** Stores a snapshot and replaces the log by the hard state and the entries that follow the snapshot. */
     void saveSnapshot(const wire::SnapshotHeaderT &snapshot, const wire::HardStateT &hardState, const std::vector<wire::LogRecordT> &entries);
 
-    /** Bytes of the log file. */
+    /** Size of the log file in bytes. */
     std::uint64_t logBytes() const;
 
 private:
     void lockFolder();
-    void loadIdentity(const std::string &instance, std::uint64_t mintedNumber);
+    void loadIdentity(const std::string &instance, std::uint64_t randomNumber);
     void recover();
     std::string pathOf(const char *name) const;
 
--- a/paddlepier/storage/replicastore_benchmark.cpp
+++ b/paddlepier/storage/replicastore_benchmark.cpp
@@ -1,4 +1,4 @@
-// Log writes with real syncs by group size, and recovery by length of the log.
+// Benchmarks of synced log writes by batch size, and of recovery by log length.
 
 #include "paddlepier/storage/replicastore.h"
 
@@ -14,10 +14,10 @@
 namespace
 {
 
-/** Bytes of a typical placement command. */
+/** Size of a typical placement command. */
 constexpr std::size_t entryBytes = 160;
 
-/** A folder below the working folder, so that it is on the same disk as the build. */
+/** Temporary folder in the working directory, so that it is on the same disk as the build. */
 class Folder
 {
 public:
--- a/paddlepier/storage/replicastore_test.cpp
+++ b/paddlepier/storage/replicastore_test.cpp
@@ -1,4 +1,4 @@
-// Storage: what survives, what is cut off, and what is refused.
+// Recovery of a replica's store: durable data is restored, torn writes are truncated, damaged and foreign folders are refused.
 
 #include "paddlepier/storage/replicastore.h"
 
@@ -60,7 +60,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(ReplicaStoreFixture, "append_thenReopen_givesBackEverything")
+TEST_CASE_METHOD(ReplicaStoreFixture, "append_thenReopen_restoresEverything")
 {
     wire::HardStateT hard;
     hard.term = 4;
@@ -75,14 +75,14 @@
     REQUIRE(state.entries[3].term == 2);
 }
 
-TEST_CASE_METHOD(ReplicaStoreFixture, "log_cutAtAnyByte_givesBackWholeEntriesOnly")
+TEST_CASE_METHOD(ReplicaStoreFixture, "log_truncatedAtAnyByte_restoresOnlyCompleteEntries")
 {
     ReplicaStore(this->folder, "a", 1).append(nullptr, entries(1, 3));
-    const std::string whole = readFile(this->logPath());
-    for (std::size_t length = 0; length < whole.size(); length += 7) {
-        std::ofstream(this->logPath(), std::ios::binary | std::ios::trunc) << whole.substr(0, length);
+    const std::string complete = readFile(this->logPath());
+    for (std::size_t length = 0; length < complete.size(); length += 7) {
+        std::ofstream(this->logPath(), std::ios::binary | std::ios::trunc) << complete.substr(0, length);
         const RecoveredState state = this->reopen();
-        REQUIRE(state.entries.size() == length * 3 / whole.size());
+        REQUIRE(state.entries.size() == length * 3 / complete.size());
     }
 }
 
@@ -95,7 +95,7 @@
     REQUIRE_THROWS_AS(this->reopen(), CorruptLogError);
 }
 
-TEST_CASE_METHOD(ReplicaStoreFixture, "snapshot_replacesLog_andKeepsTail")
+TEST_CASE_METHOD(ReplicaStoreFixture, "snapshot_replacingTheLog_keepsItsTail")
 {
     {
         ReplicaStore store(this->folder, "a", 1);
@@ -119,7 +119,7 @@
     REQUIRE_THROWS_AS(this->reopen(), CorruptLogError);
 }
 
-TEST_CASE_METHOD(ReplicaStoreFixture, "identity_isMintedWithFolder_andForeignOnesAreRefused")
+TEST_CASE_METHOD(ReplicaStoreFixture, "identity_createdWithItsFolder_isStableAndRefusesOthers")
 {
     const std::string first = ReplicaStore(this->folder, "a", 1).identity();
     REQUIRE(ReplicaStore(this->folder, "a", 2).identity() == first);
