--- a/paddlepier/http/httpclient.cpp
+++ b/paddlepier/http/httpclient.cpp
@@ -21,32 +21,31 @@
 namespace
 {
 
-/** Largest answer taken from a backend server. */
-constexpr std::size_t mostAnswerBytes = 64U << 20U;
+/** Limit on the body of a response. */
+constexpr std::size_t maxResponseBytes = 64U << 20U;
 
-/** Longest wait for a connection to open. */
-constexpr long connectMillis = 1000;
+constexpr long connectTimeoutMillis = 1000;
 
 constexpr long noContentStatus = 204;
 
-/** Ended transfers whose handles are kept for the next ones. */
-constexpr std::size_t mostSpareTransfers = 64;
+/** Limit on ended transfers whose handles are kept for reuse. */
+constexpr std::size_t maxSpareTransfers = 64;
 
-/** One transfer with everything that its handle refers to; used for one request after the other. */
+/** A transfer and all objects that its handle refers to; reused for successive requests. */
 struct Transfer {
     OutgoingRequest request;
     TransferPool::Done done;
     TransferResult result;
-    Timestamp began;
+    Timestamp startedAt;
     Timestamp deadline;
     TransferSockets *sockets = nullptr;
     CURL *handle = nullptr;
     curl_slist *headerList = nullptr;
-    /** Connections over which the request was begun to be sent. */
-    std::uint32_t sendings = 0;
+    /** Number of times that sending the request was started, each over another connection. */
+    std::uint32_t sendAttempts = 0;
     bool hasLength = false;
     bool isChunked = false;
-    /** The library asked to wait at its socket. */
+    /** libcurl has requested to wait for events on its socket. */
     bool wasWatched = false;
 
     Transfer() = default;
@@ -59,16 +58,16 @@
         curl_easy_cleanup(this->handle);
     }
 
-    /** Lets go of the request and its answer. */
+    /** Releases the request and the response for reuse of the handle. */
     void clear()
     {
         curl_slist_free_all(this->headerList);
         this->headerList = nullptr;
         this->request = {};
-        std::string().swap(this->request.body); // An assignment may keep its memory.
+        std::string().swap(this->request.body); // Assigning an empty string may keep the allocated memory.
         this->done = nullptr;
         this->result = {};
-        this->sendings = 0;
+        this->sendAttempts = 0;
         this->hasLength = false;
         this->isChunked = false;
         this->wasWatched = false;
@@ -85,7 +84,7 @@
 std::size_t onBody(char *data, std::size_t size, std::size_t count, void *context)
 {
     auto *transfer = static_cast<Transfer *>(context);
-    if (transfer->result.response.body.size() + size * count > mostAnswerBytes) {
+    if (transfer->result.response.body.size() + size * count > maxResponseBytes) {
         return 0;
     }
     transfer->result.response.body.append(data, size * count);
@@ -111,15 +110,15 @@
     return size * count;
 }
 
-/** Called by the library right before it sends the request, also for the second time. */
+/** Called by libcurl right before it sends the request, including before it resends it. */
 int onSending(void *context, char *, char *, int, int)
 {
     auto *transfer = static_cast<Transfer *>(context);
-    const bool isFirst = transfer->sendings == 0;
-    if (!isFirst && !transfer->request.isIdempotent) {
+    const bool isFirstAttempt = transfer->sendAttempts == 0;
+    if (!isFirstAttempt && !transfer->request.isIdempotent) {
         return CURL_PREREQFUNC_ABORT;
     }
-    ++transfer->sendings;
+    ++transfer->sendAttempts;
     return CURL_PREREQFUNC_OK;
 }
 
@@ -129,20 +128,20 @@
     std::call_once(once, [] { curl_global_init(CURL_GLOBAL_DEFAULT); });
 }
 
-int onOpened(void *context, curl_socket_t socket, curlsocktype)
+int onSocketOpened(void *context, curl_socket_t socket, curlsocktype)
 {
     static_cast<TransferSockets *>(context)->setSocketOptions(socket);
     return CURL_SOCKOPT_OK;
 }
 
-int onClosing(void *context, curl_socket_t socket)
+int onSocketClosing(void *context, curl_socket_t socket)
 {
     static_cast<TransferSockets *>(context)->remove(socket);
     return ::close(socket);
 }
 
-/** Makes a handle with what is the same for all requests. */
-void makeHandle(Transfer &transfer)
+/** Creates the handle and sets the options that are the same for all requests. */
+void createHandle(Transfer &transfer)
 {
     initializeLibrary();
     CURL *handle = curl_easy_init();
@@ -158,18 +157,18 @@
     curl_easy_setopt(handle, CURLOPT_PREREQDATA, &transfer);
     curl_easy_setopt(handle, CURLOPT_PRIVATE, &transfer);
     if (transfer.sockets != nullptr) {
-        curl_easy_setopt(handle, CURLOPT_SOCKOPTFUNCTION, &onOpened);
+        curl_easy_setopt(handle, CURLOPT_SOCKOPTFUNCTION, &onSocketOpened);
         curl_easy_setopt(handle, CURLOPT_SOCKOPTDATA, transfer.sockets);
-        curl_easy_setopt(handle, CURLOPT_CLOSESOCKETFUNCTION, &onClosing);
+        curl_easy_setopt(handle, CURLOPT_CLOSESOCKETFUNCTION, &onSocketClosing);
         curl_easy_setopt(handle, CURLOPT_CLOSESOCKETDATA, transfer.sockets);
     }
 }
 
-/** Sets everything that differs between requests, since the handle may have served another. */
+/** Sets all options that differ between requests, since the handle may have been used for another one. */
 void prepare(Transfer &transfer)
 {
     if (transfer.handle == nullptr) {
-        makeHandle(transfer);
+        createHandle(transfer);
     }
     const OutgoingRequest &request = transfer.request;
     CURL *handle = transfer.handle;
@@ -180,9 +179,9 @@
     const long millis = std::max<long>(1, absl::ToInt64Milliseconds(request.timeout));
     curl_easy_setopt(handle, CURLOPT_URL, request.url.c_str());
     curl_easy_setopt(handle, CURLOPT_HTTPHEADER, transfer.headerList);
-    // The pool keeps the time itself: the library gives up calls whose answers it hasn't read yet.
+    // The pool enforces the timeout itself: libcurl would abort transfers whose responses have arrived but haven't been read.
     curl_easy_setopt(handle, CURLOPT_TIMEOUT_MS, transfer.sockets == nullptr ? millis : 0L);
-    curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS, std::min(millis, connectMillis));
+    curl_easy_setopt(handle, CURLOPT_CONNECTTIMEOUT_MS, std::min(millis, connectTimeoutMillis));
     if (request.method == "GET") {
         curl_easy_setopt(handle, CURLOPT_HTTPGET, 1L);
         curl_easy_setopt(handle, CURLOPT_CUSTOMREQUEST, nullptr);
@@ -192,25 +191,25 @@
         curl_easy_setopt(handle, CURLOPT_POSTFIELDS, request.body.data());
         curl_easy_setopt(handle, CURLOPT_POSTFIELDSIZE_LARGE, static_cast<curl_off_t>(request.body.size()));
     }
-    const long isOnce = request.mayReuseConnection ? 0 : 1;
-    curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, isOnce);
-    curl_easy_setopt(handle, CURLOPT_FORBID_REUSE, isOnce);
+    const long needsNewConnection = request.mayReuseConnection ? 0 : 1;
+    curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, needsNewConnection);
+    curl_easy_setopt(handle, CURLOPT_FORBID_REUSE, needsNewConnection);
 }
 
-TransferResult conclude(Transfer &transfer, CURLcode code)
+TransferResult makeResult(Transfer &transfer, CURLcode code)
 {
     long status = 0;
     curl_easy_getinfo(transfer.handle, CURLINFO_RESPONSE_CODE, &status);
     TransferResult result = std::move(transfer.result);
     result.response.status = static_cast<int>(status);
-    // An answer that ends with its connection can't be told from one that was cut short.
-    const bool hasProvenEnd = transfer.hasLength || transfer.isChunked || status == noContentStatus;
-    result.isComplete = code == CURLE_OK && status != 0 && hasProvenEnd;
-    result.nothingSent = code != CURLE_OK && transfer.sendings == 0;
+    // A response that is delimited only by the end of its connection can't be distinguished from a truncated one.
+    const bool hasExplicitEnd = transfer.hasLength || transfer.isChunked || status == noContentStatus;
+    result.isComplete = code == CURLE_OK && status != 0 && hasExplicitEnd;
+    result.nothingSent = code != CURLE_OK && transfer.sendAttempts == 0;
     if (code != CURLE_OK) {
         result.error = curl_easy_strerror(code);
     } else if (!result.isComplete) {
-        result.error = "the answer has no stated length";
+        result.error = "response has neither Content-Length nor chunked encoding";
     }
     return result;
 }
@@ -229,25 +228,25 @@
     static int onSocket(CURL *handle, curl_socket_t socket, int what, void *self, void *);
     static int onTimer(CURLM *, long millis, void *self);
 
-    std::unique_ptr<Transfer> spareTransfer();
-    void serve(Duration patience);
-    std::vector<Ended> takeEnded();
-    /** Takes the calls that had to be answered by @p time. */
-    void takeLate(Timestamp time, std::vector<Ended> &ended);
+    std::unique_ptr<Transfer> obtainTransfer();
+    void serve(Duration timeout);
+    std::vector<Ended> drainEnded();
+    /** Removes transfers whose deadline is at or before @p time. */
+    void drainExpired(Timestamp time, std::vector<Ended> &ended);
     std::unique_ptr<Transfer> remove(Transfer *transfer);
-    /** The answer came over a kept connection before there was a wait for it. O(connections), but rare. */
-    void noteInstantAnswer(CURL *handle);
+    /** Marks the connection idle after a response that arrived before libcurl requested to wait for it. O(connections), but rare. */
+    void markIdleAfterImmediateResponse(CURL *handle);
     void finish(std::unique_ptr<Transfer> transfer, CURLcode code);
 
-    // Before the library's handle, which closes its sockets at its end.
+    // Declared before the multi handle, whose cleanup closes the sockets through it.
     TransferSockets sockets;
     CURLM *multi = nullptr;
-    /** When the library next wants to be called, whatever happens at its sockets. */
-    Timestamp timer = absl::InfiniteFuture();
+    /** When libcurl is to be called next even without socket events. */
+    Timestamp timerExpiry = absl::InfiniteFuture();
     absl::flat_hash_map<Transfer *, std::unique_ptr<Transfer>> running;
     // Invariant: holds exactly the keys of `running`, by deadline.
     std::set<std::pair<Timestamp, Transfer *>> deadlines;
-    std::vector<std::unique_ptr<Transfer>> spare;
+    std::vector<std::unique_ptr<Transfer>> spareTransfers;
 };
 
 TransferPool::Implementation::Implementation()
@@ -285,29 +284,29 @@
 
 int TransferPool::Implementation::onTimer(CURLM *, long millis, void *self)
 {
-    // The library cuts a fraction of a millisecond off; called that much too early, it would only set its timer again.
+    // libcurl rounds its timeout down to milliseconds. Called before the exact time, it would only set the timer again.
     const Duration wait = millis > 0 ? absl::Milliseconds(millis + 1) : absl::ZeroDuration();
-    static_cast<Implementation *>(self)->timer = millis < 0 ? absl::InfiniteFuture() : controlNow() + wait;
+    static_cast<Implementation *>(self)->timerExpiry = millis < 0 ? absl::InfiniteFuture() : controlNow() + wait;
     return 0;
 }
 
-std::unique_ptr<Transfer> TransferPool::Implementation::spareTransfer()
+std::unique_ptr<Transfer> TransferPool::Implementation::obtainTransfer()
 {
-    if (this->spare.empty()) {
+    if (this->spareTransfers.empty()) {
         auto transfer = std::make_unique<Transfer>();
         transfer->sockets = &this->sockets;
         return transfer;
     }
-    std::unique_ptr<Transfer> transfer = std::move(this->spare.back());
-    this->spare.pop_back();
+    std::unique_ptr<Transfer> transfer = std::move(this->spareTransfers.back());
+    this->spareTransfers.pop_back();
     return transfer;
 }
 
-void TransferPool::Implementation::serve(Duration patience)
+void TransferPool::Implementation::serve(Duration timeout)
 {
     int count = 0;
     const Timestamp now = controlNow();
-    Timestamp wakeAt = std::min(this->timer, now + patience);
+    Timestamp wakeAt = std::min(this->timerExpiry, now + timeout);
     if (!this->deadlines.empty()) {
         wakeAt = std::min(wakeAt, this->deadlines.begin()->first);
     }
@@ -315,16 +314,16 @@
         const int what = (event.isReadable ? CURL_CSELECT_IN : 0) | (event.isWritable ? CURL_CSELECT_OUT : 0) | (event.hasFailed ? CURL_CSELECT_ERR : 0);
         curl_multi_socket_action(this->multi, event.socket, what, &count);
     }
-    if (this->timer <= controlNow()) {
-        // The library sets its timer only when it changes.
-        this->timer = absl::InfiniteFuture();
+    if (this->timerExpiry <= controlNow()) {
+        // libcurl reports its timer only when it changes, so the expired one must be cleared first.
+        this->timerExpiry = absl::InfiniteFuture();
         curl_multi_socket_action(this->multi, CURL_SOCKET_TIMEOUT, 0, &count);
     }
 }
 
 std::unique_ptr<Transfer> TransferPool::Implementation::remove(Transfer *transfer)
 {
-    // Closes the connection if the answer isn't whole.
+    // Closes the connection if the response isn't complete.
     curl_multi_remove_handle(this->multi, transfer->handle);
     this->deadlines.erase({transfer->deadline, transfer});
     const auto found = this->running.find(transfer);
@@ -333,7 +332,7 @@
     return owned;
 }
 
-void TransferPool::Implementation::noteInstantAnswer(CURL *handle)
+void TransferPool::Implementation::markIdleAfterImmediateResponse(CURL *handle)
 {
     curl_socket_t socket = CURL_SOCKET_BAD;
     if (curl_easy_getinfo(handle, CURLINFO_ACTIVESOCKET, &socket) == CURLE_OK && socket != CURL_SOCKET_BAD) {
@@ -341,11 +340,11 @@
     }
 }
 
-std::vector<TransferPool::Implementation::Ended> TransferPool::Implementation::takeEnded()
+std::vector<TransferPool::Implementation::Ended> TransferPool::Implementation::drainEnded()
 {
     std::vector<Ended> ended;
-    int left = 0;
-    while (CURLMsg *message = curl_multi_info_read(this->multi, &left)) {
+    int remaining = 0;
+    while (CURLMsg *message = curl_multi_info_read(this->multi, &remaining)) {
         if (message->msg != CURLMSG_DONE) {
             continue;
         }
@@ -353,14 +352,14 @@
         const CURLcode code = message->data.result;
         curl_easy_getinfo(message->easy_handle, CURLINFO_PRIVATE, &transfer);
         if (code == CURLE_OK && !transfer->wasWatched) {
-            this->noteInstantAnswer(message->easy_handle);
+            this->markIdleAfterImmediateResponse(message->easy_handle);
         }
         ended.emplace_back(this->remove(transfer), code);
     }
     return ended;
 }
 
-void TransferPool::Implementation::takeLate(Timestamp time, std::vector<Ended> &ended)
+void TransferPool::Implementation::drainExpired(Timestamp time, std::vector<Ended> &ended)
 {
     while (!this->deadlines.empty() && this->deadlines.begin()->first <= time) {
         ended.emplace_back(this->remove(this->deadlines.begin()->second), CURLE_OPERATION_TIMEDOUT);
@@ -370,13 +369,13 @@
 void TransferPool::Implementation::finish(std::unique_ptr<Transfer> transfer, CURLcode code)
 {
     if (code == CURLE_OPERATION_TIMEDOUT) {
-        this->sockets.shutDownIdle(transfer->address(), transfer->began);
+        this->sockets.shutDownIdle(transfer->address(), transfer->startedAt);
     }
-    TransferResult result = conclude(*transfer, code);
+    TransferResult result = makeResult(*transfer, code);
     const Done done = std::move(transfer->done);
-    if (this->spare.size() < mostSpareTransfers) {
+    if (this->spareTransfers.size() < maxSpareTransfers) {
         transfer->clear();
-        this->spare.push_back(std::move(transfer));
+        this->spareTransfers.push_back(std::move(transfer));
     }
     done(std::move(result));
 }
@@ -400,11 +399,11 @@
 
 void TransferPool::start(OutgoingRequest request, Done done)
 {
-    std::unique_ptr<Transfer> transfer = this->implementation->spareTransfer();
+    std::unique_ptr<Transfer> transfer = this->implementation->obtainTransfer();
     transfer->request = std::move(request);
     transfer->done = std::move(done);
-    transfer->began = controlNow();
-    transfer->deadline = transfer->began + std::max(transfer->request.timeout, absl::Milliseconds(1));
+    transfer->startedAt = controlNow();
+    transfer->deadline = transfer->startedAt + std::max(transfer->request.timeout, absl::Milliseconds(1));
     prepare(*transfer);
     curl_multi_add_handle(this->implementation->multi, transfer->handle);
     Transfer *key = transfer.get();
@@ -412,11 +411,11 @@
     this->implementation->running.emplace(key, std::move(transfer));
 }
 
-void TransferPool::run(Duration patience)
+void TransferPool::run(Duration timeout)
 {
-    this->implementation->serve(patience);
-    std::vector<Implementation::Ended> ended = this->implementation->takeEnded();
-    this->implementation->takeLate(this->implementation->sockets.eventsReportedUntil(), ended);
+    this->implementation->serve(timeout);
+    std::vector<Implementation::Ended> ended = this->implementation->drainEnded();
+    this->implementation->drainExpired(this->implementation->sockets.eventsReportedUntil(), ended);
     for (auto &[transfer, code] : ended) {
         this->implementation->finish(std::move(transfer), code);
     }
@@ -433,7 +432,7 @@
     transfer.request = request;
     prepare(transfer);
     const CURLcode code = curl_easy_perform(transfer.handle);
-    return conclude(transfer, code);
+    return makeResult(transfer, code);
 }
 
 } // namespace paddlepier::http
--- a/paddlepier/http/httpclient.h
+++ b/paddlepier/http/httpclient.h
@@ -1,14 +1,14 @@
-// HTTP client on libcurl: many transfers on one thread, or one at a time.
+// HTTP client on libcurl: a pool of concurrent transfers on one thread, or single blocking transfers.
 //
-// What a transfer tells about its end is exact where a promise rests on it: `nothingSent` is true only if no byte of the
-// request can have reached the other side, and a body is `whole` only if its stated length or its chunked ending came.
-// A request is never sent a second time behind the caller's back: the library would repeat one whose kept connection turns out to
-// be closed, also when the other side had read it. Only one that may be repeated is; one that must reach the other side if it can, and
-// at most once, gets a fresh connection.
+// The result of a transfer is exact where callers rely on it. `nothingSent` is true only if no byte of the request can have reached the
+// server. `isComplete` is true only if the response ended as its Content-Length or chunked encoding requires.
+// A request is never resent without the caller's consent. By default libcurl resends a request if a kept connection turns out to be closed,
+// even if the server had already read the request. Only idempotent requests are resent. A request that must be delivered if possible, but
+// at most once, gets a new connection.
 //
-// A call is given up at its timeout, but not before everything that its socket had brought by then has been read: a pool
-// that was itself held up takes the answers that came in time. The connection of a call that was given up is closed, and
-// so are those to the same address that have rested since before that call, for they may have fallen silent with it.
+// A transfer times out only after all data that arrived before its deadline has been read, so that a pool whose own thread was delayed
+// still accepts responses that came in time. After a timeout the transfer's connection is closed. Connections to the same address that
+// have been idle since before that transfer started are closed too, since they may have failed in the same way.
 //
 // Example:
 //     TransferPool pool;
@@ -36,22 +36,22 @@
     Headers headers;
     std::string body;
     Duration timeout = absl::Seconds(10);
-    /** False: the request must reach the other side at most once. */
+    /** False if the request must reach the server at most once. */
     bool mayReuseConnection = true;
-    /** It may be sent again over another connection where a kept one is closed without an answer: its effect is the same. */
+    /** The request may be resent over another connection if a kept one is closed before the response. */
     bool isIdempotent = false;
 };
 
 struct TransferResult {
-    /** The whole answer came. */
+    /** The response was received completely. */
     bool isComplete = false;
-    /** The request can't have reached the other side. */
+    /** No byte of the request can have reached the server. */
     bool nothingSent = false;
     std::string error;
     Response response;
 };
 
-/** Transfers under way; an event costs O(log n) for n open transfers, and an open one without events costs nothing. */
+/** Runs concurrent transfers. An event costs O(log n) for n open transfers; an open transfer without events costs nothing. */
 class TransferPool
 {
 public:
@@ -63,19 +63,19 @@
     TransferPool(const TransferPool &) = delete;
     TransferPool &operator=(const TransferPool &) = delete;
 
-    /** Begins a transfer; @p done is called from run(). */
+    /** Starts a transfer; @p done is called from run(). */
     void start(OutgoingRequest request, Done done);
 
-    /** Does what is due and waits up to @p patience for more; calls the `done` of ended transfers. */
-    void run(Duration patience);
+    /** Waits up to @p timeout for events, advances the transfers, and calls the `done` of those that ended. */
+    void run(Duration timeout);
 
-    /** Ends a wait in run(). */
+    /** Ends the current wait in run(), or the next one. */
     void wake();
 
-    /** Bound on connections to one host, kept ones included. */
+    /** Limits the connections to one host, including idle ones. */
     void setMaxConnectionsPerHost(std::uint32_t connections);
 
-    /** Bound on connections that are kept open for later transfers. */
+    /** Limits the idle connections that are kept open for later transfers. */
     void setMaxIdleConnections(std::uint32_t connections);
 
 private:
@@ -83,7 +83,7 @@
     std::unique_ptr<Implementation> implementation;
 };
 
-/** One transfer, waited for. */
+/** Performs one transfer and blocks until it ends. */
 TransferResult fetch(const OutgoingRequest &request);
 
 } // namespace paddlepier::http
--- a/paddlepier/http/httpclient_benchmark.cpp
+++ b/paddlepier/http/httpclient_benchmark.cpp
@@ -1,6 +1,6 @@
-// Processor time of a short call while many long ones stay open, each to an address of its own.
+// CPU time of a short call while many long calls stay open, each to an address of its own.
 //
-// The time is that of the thread that runs the transfers; the server has threads of its own.
+// Measures the thread that runs the transfers; the server has its own threads.
 
 #include "paddlepier/http/httpclient.h"
 
@@ -15,9 +15,9 @@
 
 constexpr std::uint16_t port = 29481;
 constexpr std::size_t bodyBytes = 300;
-constexpr std::size_t shortCallsAtOnce = 4;
+constexpr std::size_t concurrentShortCalls = 4;
 
-/** Answers short calls at once and holds long ones until it is told to let go. */
+/** Answers short calls immediately and holds long ones until releaseHeld() is called. */
 class Server
 {
 public:
@@ -42,7 +42,7 @@
         return this->held.size();
     }
 
-    void letGo()
+    void releaseHeld()
     {
         const absl::MutexLock lock(&this->mutex);
         for (const std::shared_ptr<Exchange> &exchange : this->held) {
@@ -83,16 +83,16 @@
     }
     std::size_t next = 0;
     for ([[maybe_unused]] const auto step : state) {
-        std::size_t open = shortCallsAtOnce;
-        for (std::size_t call = 0; call < shortCallsAtOnce; ++call) {
+        std::size_t open = concurrentShortCalls;
+        for (std::size_t call = 0; call < concurrentShortCalls; ++call) {
             pool.start(callTo(next++ % workers, "/short"), [&open](const TransferResult &result) { open -= result.isComplete ? 1 : 0; });
         }
         while (open > 0) {
             pool.run(absl::Milliseconds(100));
         }
     }
-    state.SetItemsProcessed(state.iterations() * static_cast<std::int64_t>(shortCallsAtOnce));
-    server.letGo();
+    state.SetItemsProcessed(state.iterations() * static_cast<std::int64_t>(concurrentShortCalls));
+    server.releaseHeld();
     while (longCalls > 0) {
         pool.run(absl::Milliseconds(100));
     }
--- a/paddlepier/http/httpclient_test.cpp
+++ b/paddlepier/http/httpclient_test.cpp
@@ -1,4 +1,4 @@
-// Transfers against a loopback server that can hold its answers back or let its open connections fall silent.
+// Transfers against a loopback server that can delay its responses or stop responding on open connections.
 
 #include "paddlepier/http/httpclient.h"
 
@@ -30,7 +30,7 @@
 constexpr Duration shortTimeout = absl::Milliseconds(150);
 constexpr Duration longTimeout = absl::Seconds(60);
 
-/** Echoes bodies; a request for /hold is answered once hold() is off, one for /never isn't answered. */
+/** Echoes request bodies. Requests for /hold are answered once hold(false) is called, requests for /never are not answered. */
 class EchoServer
 {
 public:
@@ -66,10 +66,10 @@
         return absl::StrCat("http://127.0.0.1:", this->port, path);
     }
 
-    /** Connections that are open now get no answer any more, and no reset. */
-    void silenceOpen()
+    /** Stops responding on all connections that are open now, without resetting them. */
+    void silenceOpenConnections()
     {
-        this->silent = this->accepted.load();
+        this->lastSilenced = this->accepted.load();
     }
 
     void hold(bool isOn)
@@ -132,7 +132,7 @@
         const ssize_t count = ::recv(socket, chunk.data(), chunk.size(), 0);
         if (count > 0) {
             this->connections.at(socket).received.append(chunk.data(), static_cast<std::size_t>(count));
-        } else if (this->connections.at(socket).number > this->silent) {
+        } else if (this->connections.at(socket).number > this->lastSilenced) {
             ::close(socket);
             this->connections.erase(socket);
         }
@@ -142,15 +142,15 @@
     {
         const std::size_t end = connection.received.find("\r\n\r\n");
         const std::size_t length = connection.received.find("Content-Length: ");
-        if (end == std::string::npos || connection.number <= this->silent || absl::StartsWith(connection.received, "POST /never")) {
+        if (end == std::string::npos || connection.number <= this->lastSilenced || absl::StartsWith(connection.received, "POST /never")) {
             return;
         }
         std::size_t bodyBytes = 0;
         if (length < end) {
             bodyBytes = static_cast<std::size_t>(std::stoul(connection.received.substr(length + 16)));
         }
-        const std::size_t whole = end + 4 + bodyBytes;
-        if (connection.received.size() < whole) {
+        const std::size_t requestBytes = end + 4 + bodyBytes;
+        if (connection.received.size() < requestBytes) {
             return;
         }
         const bool wasHeld = connection.isHeld;
@@ -159,7 +159,7 @@
         if (!connection.isHeld) {
             const std::string text =
                 absl::StrCat("HTTP/1.1 200 OK\r\nX-Echo: yes\r\nContent-Length: ", bodyBytes, "\r\n\r\n", connection.received.substr(end + 4, bodyBytes));
-            connection.received.erase(0, whole);
+            connection.received.erase(0, requestBytes);
             ::send(socket, text.data(), text.size(), MSG_NOSIGNAL);
         }
     }
@@ -169,7 +169,7 @@
     std::atomic<bool> stopping{false};
     std::atomic<bool> holding{true};
     std::atomic<int> accepted{0};
-    std::atomic<int> silent{0};
+    std::atomic<int> lastSilenced{0};
     std::atomic<int> held{0};
     std::map<int, Connection> connections;
     std::thread thread;
@@ -207,7 +207,7 @@
         return results.front();
     }
 
-    /** Leaves @p count connections at rest. */
+    /** Opens @p count connections and leaves them idle. */
     void openConnections(int count)
     {
         std::vector<TransferResult> results;
@@ -237,7 +237,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(TransferPoolFixture, "call_answered_isWhole")
+TEST_CASE_METHOD(TransferPoolFixture, "call_answered_isComplete")
 {
     const TransferResult result = this->call("/echo");
     CHECK(result.isComplete);
@@ -247,7 +247,7 @@
     CHECK(result.response.body == "body-1");
 }
 
-TEST_CASE_METHOD(TransferPoolFixture, "calls_oneAfterTheOther_shareAConnection")
+TEST_CASE_METHOD(TransferPoolFixture, "calls_sequential_shareConnection")
 {
     for (int number = 0; number < 20; ++number) {
         CHECK(this->call("/echo").isComplete);
@@ -255,7 +255,7 @@
     CHECK(this->server.acceptedConnections() == 1);
 }
 
-TEST_CASE_METHOD(TransferPoolFixture, "call_atMostOnce_hasAConnectionOfItsOwn")
+TEST_CASE_METHOD(TransferPoolFixture, "call_atMostOnce_usesNewConnection")
 {
     CHECK(this->call("/echo").isComplete);
     CHECK(this->call("/echo", longTimeout, false).isComplete);
@@ -264,7 +264,7 @@
     CHECK(this->server.acceptedConnections() == 2);
 }
 
-TEST_CASE_METHOD(TransferPoolFixture, "method_afterAnotherRequestOnTheSameHandle_isItsOwn")
+TEST_CASE_METHOD(TransferPoolFixture, "request_onReusedHandle_usesItsOwnMethod")
 {
     CHECK(this->call("/echo").isComplete);
     std::vector<TransferResult> results;
@@ -278,7 +278,7 @@
     CHECK(this->call("/echo").response.body == "body-2");
 }
 
-TEST_CASE_METHOD(TransferPoolFixture, "shortCalls_amongManyOpenOnes_areAnswered")
+TEST_CASE_METHOD(TransferPoolFixture, "shortCalls_amongManyOpenCalls_areAnswered")
 {
     constexpr std::size_t openCalls = 300;
     std::vector<TransferResult> held;
@@ -296,7 +296,7 @@
     CHECK(std::all_of(held.begin(), held.end(), [](const TransferResult &result) { return result.isComplete; }));
 }
 
-TEST_CASE_METHOD(TransferPoolFixture, "calls_beyondTheBoundOfAHost_waitAndAreAnswered")
+TEST_CASE_METHOD(TransferPoolFixture, "calls_beyondConnectionsPerHost_waitAndAreAnswered")
 {
     this->pool.setMaxConnectionsPerHost(2);
     std::vector<TransferResult> results;
@@ -308,16 +308,16 @@
     CHECK(this->server.acceptedConnections() <= 2);
 }
 
-TEST_CASE_METHOD(TransferPoolFixture, "call_thatGetsNoConnectionInTime_hasSentNothing")
+TEST_CASE_METHOD(TransferPoolFixture, "call_withoutConnectionBeforeTimeout_sendsNothing")
 {
     this->pool.setMaxConnectionsPerHost(1);
     CHECK(this->call("/echo").isComplete);
     std::vector<TransferResult> held;
     this->start("/hold", held);
     this->runUntil([&] { return this->server.heldRequests() == 1; });
-    const TransferResult late = this->call("/echo", shortTimeout);
-    CHECK(!late.isComplete);
-    CHECK(late.nothingSent);
+    const TransferResult timedOut = this->call("/echo", shortTimeout);
+    CHECK(!timedOut.isComplete);
+    CHECK(timedOut.nothingSent);
     this->server.hold(false);
     this->runUntil([&] { return !held.empty(); });
     CHECK(held.front().isComplete);
@@ -325,18 +325,18 @@
     CHECK(this->server.acceptedConnections() == 1);
 }
 
-TEST_CASE_METHOD(TransferPoolFixture, "connection_ofACallThatTimedOut_isNotUsedAgain")
+TEST_CASE_METHOD(TransferPoolFixture, "connection_afterTimeout_isNotReused")
 {
     CHECK(this->call("/echo").isComplete);
-    const TransferResult late = this->call("/never", shortTimeout);
-    CHECK(!late.isComplete);
-    CHECK(!late.nothingSent);
+    const TransferResult timedOut = this->call("/never", shortTimeout);
+    CHECK(!timedOut.isComplete);
+    CHECK(!timedOut.nothingSent);
     CHECK(this->server.acceptedConnections() == 1);
     CHECK(this->call("/echo").isComplete);
     CHECK(this->server.acceptedConnections() == 2);
 }
 
-TEST_CASE_METHOD(TransferPoolFixture, "answer_thatCameInTimeButIsReadLate_isTaken")
+TEST_CASE_METHOD(TransferPoolFixture, "response_receivedInTimeButReadLate_isAccepted")
 {
     std::vector<TransferResult> results;
     this->openConnections(1);
@@ -350,11 +350,11 @@
     CHECK(this->server.acceptedConnections() == 1);
 }
 
-TEST_CASE_METHOD(TransferPoolFixture, "connections_silentForGood_costOneTimeout")
+TEST_CASE_METHOD(TransferPoolFixture, "connections_permanentlyUnresponsive_costOneTimeout")
 {
     constexpr int kept = 4;
     this->openConnections(kept);
-    this->server.silenceOpen();
+    this->server.silenceOpenConnections();
     CHECK(!this->call("/echo", shortTimeout).isComplete);
     std::vector<TransferResult> results;
     for (int number = 0; number < kept; ++number) {
@@ -365,20 +365,20 @@
     CHECK(this->server.acceptedConnections() > kept);
 }
 
-TEST_CASE_METHOD(TransferPoolFixture, "connection_thatAnsweredSinceTheLateCallBegan_isKept")
+TEST_CASE_METHOD(TransferPoolFixture, "connection_usedSinceTimedOutCallStarted_isKept")
 {
     this->openConnections(2);
-    std::vector<TransferResult> late;
-    this->start("/never", late, absl::Milliseconds(300));
+    std::vector<TransferResult> timedOut;
+    this->start("/never", timedOut, absl::Milliseconds(300));
     CHECK(this->call("/echo").isComplete);
-    REQUIRE(late.empty());
-    this->runUntil([&] { return !late.empty(); });
-    CHECK(!late.front().isComplete);
+    REQUIRE(timedOut.empty());
+    this->runUntil([&] { return !timedOut.empty(); });
+    CHECK(!timedOut.front().isComplete);
     CHECK(this->call("/echo").isComplete);
     CHECK(this->server.acceptedConnections() == 2);
 }
 
-TEST_CASE_METHOD(TransferPoolFixture, "callUnderWay_whileAnotherTimesOut_isLeftAlone")
+TEST_CASE_METHOD(TransferPoolFixture, "callInFlight_whileAnotherTimesOut_isUnaffected")
 {
     std::vector<TransferResult> held;
     this->start("/hold", held);
@@ -389,7 +389,7 @@
     CHECK(held.front().isComplete);
 }
 
-TEST_CASE_METHOD(TransferPoolFixture, "call_refused_hasSentNothing")
+TEST_CASE_METHOD(TransferPoolFixture, "call_withConnectionRefused_sendsNothing")
 {
     for (int number = 0; number < 5; ++number) {
         OutgoingRequest request;
@@ -404,7 +404,7 @@
     CHECK(this->server.acceptedConnections() == 1);
 }
 
-TEST_CASE_METHOD(TransferPoolFixture, "call_startedByAnEndedOne_isAnswered")
+TEST_CASE_METHOD(TransferPoolFixture, "call_startedFromCallback_isAnswered")
 {
     std::vector<TransferResult> results;
     OutgoingRequest request;
@@ -421,7 +421,7 @@
     waker.join();
 }
 
-TEST_CASE_METHOD(TransferPoolFixture, "pool_atItsEnd_dropsOpenCalls")
+TEST_CASE_METHOD(TransferPoolFixture, "pool_destroyedWithOpenCalls_discardsThem")
 {
     std::vector<TransferResult> results;
     {
@@ -437,7 +437,7 @@
     CHECK(results.empty());
 }
 
-TEST_CASE("socket_prepared_isProbedWhileItRests")
+TEST_CASE("socket_withOptionsSet_isProbedWhenIdle")
 {
     TransferSockets sockets;
     const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
--- a/paddlepier/http/httpserver.cpp
+++ b/paddlepier/http/httpserver.cpp
@@ -20,8 +20,8 @@
 namespace
 {
 
-/** Memory of one connection for its headers; longer ones are refused by the library with 431. */
-constexpr std::size_t headerBytes = 32768;
+/** Memory for the headers of one connection; the library rejects longer headers with 431. */
+constexpr std::size_t maxHeaderBytes = 32768;
 
 MHD_Result collectHeader(void *context, MHD_ValueKind, const char *key, const char *value)
 {
@@ -29,10 +29,12 @@
     return MHD_YES;
 }
 
-/** Not 503: whether the request takes effect isn't known here. */
+/** Not 503, which would state that the request was not executed: it may still take effect. */
 Response outcomeUnknown()
 {
-    return {504, {{"Content-Type", "application/json"}, {"Retry-After", "1"}}, "{\"error\":\"Timeout\",\"message\":\"stopping; the outcome is not known\"}"};
+    return {504,
+            {{"Content-Type", "application/json"}, {"Retry-After", "1"}},
+            "{\"error\":\"Timeout\",\"message\":\"server is stopping; the outcome of the request is unknown\"}"};
 }
 
 } // namespace
@@ -57,20 +59,20 @@
     return findHeader(this->headers, name);
 }
 
-void Exchange::respond(Response answer)
+void Exchange::respond(Response newResponse)
 {
     const absl::MutexLock lock(&this->mutex);
     if (this->response) {
         return;
     }
-    this->response = std::move(answer);
+    this->response = std::move(newResponse);
     if (this->isSuspended) {
         this->isSuspended = false;
         MHD_resume_connection(this->connection);
     }
 }
 
-/** Bridges from the library's C callbacks. */
+/** Adapts the library's C callbacks. */
 struct HttpServer::Callbacks {
     static MHD_Result
     onData(void *self, MHD_Connection *connection, const char *url, const char *method, const char *, const char *data, std::size_t *size, void **context)
@@ -139,7 +141,7 @@
                                     MHD_OPTION_CONNECTION_TIMEOUT,
                                     static_cast<unsigned int>(absl::ToInt64Seconds(limitSettings.connectionIdle)),
                                     MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-                                    headerBytes,
+                                    maxHeaderBytes,
                                     MHD_OPTION_LISTENING_ADDRESS_REUSE,
                                     1U,
                                     MHD_OPTION_END);
@@ -158,7 +160,7 @@
     this->isStopping = true;
 }
 
-void HttpServer::stop(Duration patience)
+void HttpServer::stop(Duration timeout)
 {
     if (this->daemon == nullptr) {
         return;
@@ -168,15 +170,15 @@
     if (listener != MHD_INVALID_SOCKET) {
         ::close(listener);
     }
-    this->waitForExchanges(patience);
+    this->waitForExchanges(timeout);
     this->rejectSuspended();
     MHD_stop_daemon(this->daemon);
     this->daemon = nullptr;
 }
 
-void HttpServer::waitForExchanges(Duration patience) const
+void HttpServer::waitForExchanges(Duration timeout) const
 {
-    const Timestamp end = controlNow() + patience;
+    const Timestamp end = controlNow() + timeout;
     while (this->activeCount > 0 && controlNow() < end) {
         absl::SleepFor(absl::Milliseconds(5));
     }
@@ -184,22 +186,22 @@
 
 void HttpServer::rejectSuspended()
 {
-    // Longest time in which the library sends answers that are ready.
-    constexpr Duration sendPatience = absl::Milliseconds(200);
-    std::set<std::shared_ptr<Exchange>> left;
+    // Time for the library to send the queued responses.
+    constexpr Duration sendTimeout = absl::Milliseconds(200);
+    std::set<std::shared_ptr<Exchange>> remaining;
     {
         const absl::MutexLock lock(&this->mutex);
-        left = this->suspendedExchanges;
+        remaining = this->suspendedExchanges;
         this->isRejecting = true;
     }
-    if (left.empty()) {
+    if (remaining.empty()) {
         return;
     }
-    log::warning("http", "exchanges.refused", {{"count", left.size()}});
-    for (const std::shared_ptr<Exchange> &exchange : left) {
+    log::warning("http", "exchanges.refused", {{"count", remaining.size()}});
+    for (const std::shared_ptr<Exchange> &exchange : remaining) {
         exchange->respond(outcomeUnknown());
     }
-    this->waitForExchanges(sendPatience);
+    this->waitForExchanges(sendTimeout);
 }
 
 std::int64_t HttpServer::activeExchanges() const
@@ -244,9 +246,11 @@
         isRefused = this->isRejecting;
     }
     if (exchange->isBodyTooLarge) {
-        exchange->respond({413, {{"Content-Type", "application/json"}}, "{\"error\":\"BodyTooLarge\",\"message\":\"the body is over the limit\"}"});
+        exchange->respond({413, {{"Content-Type", "application/json"}}, "{\"error\":\"BodyTooLarge\",\"message\":\"the request body exceeds the limit\"}"});
     } else if (isRefused) {
-        exchange->respond({503, {{"Content-Type", "application/json"}, {"Retry-After", "1"}}, "{\"error\":\"Stopping\",\"message\":\"stopping; not taken\"}"});
+        exchange->respond({503,
+                           {{"Content-Type", "application/json"}, {"Retry-After", "1"}},
+                           "{\"error\":\"Stopping\",\"message\":\"server is stopping; the request was not executed\"}"});
     } else {
         this->handler(exchange);
     }
@@ -277,16 +281,16 @@
     if (!exchange.response) {
         return MHD_YES;
     }
-    const Response &answer = *exchange.response;
-    MHD_Response *response = MHD_create_response_from_buffer(answer.body.size(), const_cast<char *>(answer.body.data()), MHD_RESPMEM_MUST_COPY);
-    for (const auto &[name, value] : answer.headers) {
-        MHD_add_response_header(response, name.c_str(), value.c_str());
+    const Response &response = *exchange.response;
+    MHD_Response *queuedResponse = MHD_create_response_from_buffer(response.body.size(), const_cast<char *>(response.body.data()), MHD_RESPMEM_MUST_COPY);
+    for (const auto &[name, value] : response.headers) {
+        MHD_add_response_header(queuedResponse, name.c_str(), value.c_str());
     }
     if (this->isStopping) {
-        MHD_add_response_header(response, MHD_HTTP_HEADER_CONNECTION, "close");
+        MHD_add_response_header(queuedResponse, MHD_HTTP_HEADER_CONNECTION, "close");
     }
-    const MHD_Result queued = MHD_queue_response(exchange.connection, static_cast<unsigned int>(answer.status), response);
-    MHD_destroy_response(response);
+    const MHD_Result queued = MHD_queue_response(exchange.connection, static_cast<unsigned int>(response.status), queuedResponse);
+    MHD_destroy_response(queuedResponse);
     return queued;
 }
 
--- a/paddlepier/http/httpserver.h
+++ b/paddlepier/http/httpserver.h
@@ -1,14 +1,14 @@
-// HTTP server of an entry instance, on libmicrohttpd.
+// HTTP server on libmicrohttpd.
 //
-// Each request arrives whole as an Exchange; a handler answers it once, at once or later and from any thread. Bodies,
-// headers, connections and idle times are bounded. A planned stop first refuses new connections and then waits until
-// every exchange has been answered.
+// Each request is received completely and passed to the handler as an Exchange. The handler responds to it exactly once, immediately or later
+// and from any thread. Body size, header size, the number of connections and their idle time are limited. A planned stop first refuses new
+// connections and then waits until every exchange has its response.
 //
 // Example:
-//     HttpServer server(endpoint, limits, [](std::shared_ptr<Exchange> exchange) { exchange->answer({200, {}, "ok"}); });
+//     HttpServer server(endpoint, limits, [](std::shared_ptr<Exchange> exchange) { exchange->respond({200, {}, "ok"}); });
 //     server.stop(absl::Seconds(10));
 //
-// Thread safety: the handler runs on the server's threads, several at a time; Exchange::answer() may be called from any.
+// Thread safety: the handler runs on the server's threads, several at a time; Exchange::respond() may be called from any thread.
 
 #ifndef PADDLEPIER_HTTP_HTTPSERVER_H
 #define PADDLEPIER_HTTP_HTTPSERVER_H
@@ -40,12 +40,12 @@
 struct Request {
     std::string method;
     std::string path;
-    /** Path and query as they stood in the request line. */
+    /** Path and query, unmodified, from the request line. */
     std::string target;
     Headers headers;
     std::string body;
 
-    /** Value of a header, whatever its case; empty if it's missing. */
+    /** Value of a header, by case-insensitive name; empty if it is missing. */
     std::string_view header(std::string_view name) const;
 };
 
@@ -57,10 +57,10 @@
     std::string_view header(std::string_view name) const;
 };
 
-/** Looks a header up, whatever its case. */
+/** Value of a header, by case-insensitive name; empty if it is missing. */
 std::string_view findHeader(const Headers &headers, std::string_view name);
 
-/** One request and its answer. */
+/** One request and its response. */
 class Exchange
 {
 public:
@@ -69,8 +69,8 @@
         return this->receivedRequest;
     }
 
-    /** Answers the request; every call but the first is ignored. */
-    void respond(Response answer);
+    /** Responds to the request; every call after the first is ignored. */
+    void respond(Response newResponse);
 
 private:
     friend class HttpServer;
@@ -97,24 +97,24 @@
     HttpServer(const HttpServer &) = delete;
     HttpServer &operator=(const HttpServer &) = delete;
 
-    /** From now on every answer closes its connection, so that callers go elsewhere before stop(). */
+    /** Makes every further response close its connection, so that clients move to other instances before stop(). */
     void closeConnectionsAfterResponses();
 
-    /** Refuses new connections, waits up to @p patience for exchanges under way, answers the rest with 504, then closes. */
-    void stop(Duration patience);
+    /** Refuses new connections, waits up to @p timeout for exchanges in flight, responds to the others with 504, then closes. */
+    void stop(Duration timeout);
 
     std::int64_t activeExchanges() const;
 
-    /** For the library's callbacks alone. */
+    /** Only for the library's callbacks. */
     struct Callbacks;
 
 private:
     int onData(MHD_Connection *connection, const char *url, const char *method, const char *data, std::size_t *size, void **context);
     void dispatch(const std::shared_ptr<Exchange> &exchange);
-    /** @return true if the connection waits now for its answer */
+    /** @return true if the connection is now suspended until the response is available */
     bool suspendUnlessResponded(const std::shared_ptr<Exchange> &exchange);
     int queueResponse(Exchange &exchange);
-    void waitForExchanges(Duration patience) const;
+    void waitForExchanges(Duration timeout) const;
     void rejectSuspended();
 
     const LimitSettings limits;
@@ -123,9 +123,9 @@
     std::atomic<bool> isStopping{false};
     MHD_Daemon *daemon = nullptr;
     absl::Mutex mutex;
-    // Invariant: holds every exchange whose connection is suspended; the library must not be stopped while there is one.
+    // Invariant: holds every exchange whose connection is suspended. The library must not be stopped while any connection is suspended.
     std::set<std::shared_ptr<Exchange>> suspendedExchanges ABSL_GUARDED_BY(mutex);
-    /** No further exchange may wait for its answer: those that did have been refused, and nobody would refuse it. */
+    /** No further connection may be suspended: rejectSuspended() has run, so nothing would resume it before the library is stopped. */
     bool isRejecting ABSL_GUARDED_BY(mutex) = false;
 };
 
--- a/paddlepier/http/httpserver_test.cpp
+++ b/paddlepier/http/httpserver_test.cpp
@@ -1,4 +1,4 @@
-// The HTTP server at its end.
+// HTTP server: a planned stop with open exchanges.
 
 #include "paddlepier/http/httpserver.h"
 
@@ -64,10 +64,10 @@
     CHECK(result.response.header("Retry-After") == "1");
 }
 
-TEST_CASE_METHOD(HttpServerFixture, "request_readWhileTheServerStops_isRefusedAndNotRun")
+TEST_CASE_METHOD(HttpServerFixture, "request_receivedDuringStop_isRejectedAndNotExecuted")
 {
-    // Symptom: a process aborted in a planned stop. Sequence: requests that waited for their answer were refused; another one, whose
-    // body came after that, was given to the handler and waited in turn; the library must not be stopped while one waits.
+    // Guards against a process aborting in a planned stop. After all suspended requests had been rejected, the body of another request
+    // arrived, and that request was dispatched and suspended too; the library aborts if it is stopped while a connection is suspended.
     const int slow = ::socket(AF_INET, SOCK_STREAM, 0);
     const SocketAddress address = toSocketAddress(this->endpoint);
     REQUIRE(::connect(slow, address.pointer(), address.size) == 0);
@@ -79,7 +79,7 @@
         request.method = "GET";
         request.url = absl::StrCat("http://", this->endpoint.text(), "/");
         fetch(request);
-        // The one that waited has been refused.
+        // The suspended request has been rejected.
         sent = ::send(slow, "body", 4, 0);
     });
     REQUIRE(testing::waitUntil([this] { return this->heldExchanges() == 1 && this->server->activeExchanges() == 2; }));
--- a/paddlepier/http/repeatedrequest_test.cpp
+++ b/paddlepier/http/repeatedrequest_test.cpp
@@ -1,8 +1,7 @@
-// A request whose kept connection is reset after the other side has read it.
+// A request must not be resent when its kept connection is reset after the server has read it.
 //
-// Symptom: a worker carries a start out twice, of which the scheduler knows one. Sequence: the request comes over a kept
-// connection; the connection is reset before the answer; the client library sends the request again over a new one, and what it
-// returns is the answer to the second. Cause: the library takes a reset kept connection for one that was closed while idle.
+// libcurl takes a reset of a kept connection for one that was closed while idle, resends the request over a new connection, and returns the
+// response to the second copy. A worker would then execute a start twice, of which the scheduler knows only one.
 
 #include "paddlepier/http/httpclient.h"
 
@@ -26,7 +25,7 @@
 
 constexpr std::string_view body = "{  }";
 
-/** Answers the first request, reads the second and resets its connection, then answers whoever comes. */
+/** Answers the first request, reads the second and resets the connection, then answers all further requests. */
 class ResettingServer
 {
 public:
@@ -50,7 +49,7 @@
     }
 
     const Endpoint endpoint{"127.0.0.1", testing::freePort()};
-    /** Beyond the first. */
+    /** Requests received after the first. */
     std::atomic<int> requests{0};
 
 private:
@@ -97,12 +96,12 @@
 class RepeatedRequestFixture
 {
 public:
-    TransferResult call(bool mayBeRepeated)
+    TransferResult call(bool isIdempotent)
     {
         OutgoingRequest request;
         request.url = absl::StrCat("http://", this->server.endpoint.text(), "/");
         request.body = std::string(body);
-        request.isIdempotent = mayBeRepeated;
+        request.isIdempotent = isIdempotent;
         std::optional<TransferResult> result;
         this->pool.start(std::move(request), [&result](TransferResult received) { result = std::move(received); });
         while (!result) {
@@ -117,7 +116,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(RepeatedRequestFixture, "request_whoseKeptConnectionIsResetAfterItCame_isNotSentAgain")
+TEST_CASE_METHOD(RepeatedRequestFixture, "request_keptConnectionResetAfterReceipt_isNotResent")
 {
     REQUIRE(this->call(false).isComplete);
     const TransferResult result = this->call(false);
@@ -126,7 +125,7 @@
     CHECK(this->server.requests == 1);
 }
 
-TEST_CASE_METHOD(RepeatedRequestFixture, "requestThatMayBeRepeated_whoseKeptConnectionIsReset_isAnswered")
+TEST_CASE_METHOD(RepeatedRequestFixture, "idempotentRequest_keptConnectionReset_isResentAndAnswered")
 {
     REQUIRE(this->call(true).isComplete);
     CHECK(this->call(true).isComplete);
--- a/paddlepier/http/transfersockets.cpp
+++ b/paddlepier/http/transfersockets.cpp
@@ -1,4 +1,4 @@
-// Sockets of the transfers of one thread, on epoll.
+// Socket events of one thread's transfers, on epoll.
 
 #include "paddlepier/http/transfersockets.h"
 
@@ -18,11 +18,11 @@
 namespace
 {
 
-constexpr std::size_t eventsAtOnce = 64;
+constexpr std::size_t maxEventsPerWait = 64;
 
 /**
- * Probes of a silent connection, and when it is given up. Calls time out sooner: this is for connections that rest, and
- * longer than the short cuts of a link, whose held-up bytes a reset would lose.
+ * TCP keepalive, and the limit after which an unresponsive connection is closed. Both are meant for idle connections, since calls time out
+ * sooner. The limit is longer than short interruptions of a link, after which delayed bytes still arrive; a reset would lose them.
  */
 constexpr int keepAliveIdleSeconds = 2;
 constexpr int keepAliveIntervalSeconds = 1;
@@ -83,7 +83,7 @@
         found->second.idleSince = controlNow();
         return;
     }
-    // Perhaps a failed attempt to connect, closed without a word: its number may soon be another's.
+    // It may be a failed connection attempt that was closed without notification, so that its descriptor may be reused soon.
     this->setEvents(socket, found->second, 0);
     this->remove(socket);
 }
@@ -115,11 +115,11 @@
     watched.events = events;
 }
 
-const std::vector<TransferSockets::Event> &TransferSockets::wait(Duration patience)
+const std::vector<TransferSockets::Event> &TransferSockets::wait(Duration timeout)
 {
     this->readyEvents.clear();
-    std::array<epoll_event, eventsAtOnce> events{};
-    const auto millis = static_cast<int>(absl::ToInt64Milliseconds(absl::Ceil(patience, absl::Milliseconds(1))));
+    std::array<epoll_event, maxEventsPerWait> events{};
+    const auto millis = static_cast<int>(absl::ToInt64Milliseconds(absl::Ceil(timeout, absl::Milliseconds(1))));
     if (this->incompleteWaits == 0) {
         this->firstIncompleteWait = controlNow();
     }
@@ -131,14 +131,14 @@
         if (socket == this->wakeup) {
             std::uint64_t value = 0;
             [[maybe_unused]] const ssize_t size = ::read(this->wakeup, &value, sizeof(value));
-            // Only after the descriptor was read: one who writes in between would have its write read and its mark stay, and no
-            // later call would ever write again. One who finds the mark still set comes before this wait's end.
+            // Must be reset after the eventfd is read. If it were reset before, a concurrent wake() could set it and have its write consumed
+            // here; all later calls would then find it set and never write. A wake() that finds it still set precedes the end of this wait.
             this->isWakePending = false;
             continue;
         }
         const auto found = this->sockets.find(socket);
         if (found != this->sockets.end() && found->second.idleSince != absl::InfiniteFuture()) {
-            // The other side ended it, or asks for what nobody waits for: seen when the connection is next wanted.
+            // The server closed the idle connection or sent unexpected data; libcurl notices when it next tries to reuse the connection.
             this->setEvents(socket, found->second, 0);
             continue;
         }
@@ -149,9 +149,9 @@
 
 void TransferSockets::updateReportedUntil(std::size_t events)
 {
-    // The system tells of ready sockets in turn, so that none is left out by waits for as many events as there are sockets.
+    // epoll reports ready sockets round-robin, so consecutive waits that return as many events as there are sockets miss none.
     ++this->incompleteWaits;
-    if (events < eventsAtOnce || this->incompleteWaits * eventsAtOnce > this->sockets.size()) {
+    if (events < maxEventsPerWait || this->incompleteWaits * maxEventsPerWait > this->sockets.size()) {
         this->reportedUntil = this->firstIncompleteWait;
         this->incompleteWaits = 0;
     }
--- a/paddlepier/http/transfersockets.h
+++ b/paddlepier/http/transfersockets.h
@@ -1,21 +1,21 @@
-// Sockets of the transfers of one thread: waits for what happens at them, and knows which ones rest between two calls.
+// The sockets of one thread's transfers: waits for events on them, and tracks which ones are idle between two calls.
 //
-// A wait costs O(events), however many sockets are open. A socket that rests stays registered, so that a call over a kept
-// connection needs no system call for its registration.
+// A wait costs O(events), regardless of the number of open sockets. An idle socket stays registered with epoll, so that a call over a kept
+// connection needs no system call to register it.
 //
-// A connection can fall silent for good without a reset; only a call that times out shows it. retire() then closes the
-// other connections to that address that have rested since before that call, so that none of them costs a time-out of
-// its own. Resting connections are also probed by TCP, so that one that fell silent between two calls is found closed.
+// A connection can become unresponsive for good without a reset, which only a call that times out reveals. shutDownIdle() then closes the
+// other connections to that address that have been idle since before that call, so that they don't each cost another timeout. Idle
+// connections are also probed by TCP keepalive, so that one that fails between two calls is found closed.
 //
 // Example:
 //     TransferSockets sockets;
-//     sockets.prepare(socket);                                  // before it is connected
+//     sockets.setSocketOptions(socket);                         // before it is connected
 //     sockets.watch(socket, "http://10.0.0.1:80", true, false);
 //     for (const auto &event : sockets.wait(absl::Milliseconds(100))) { ... }
-//     sockets.rest(socket);                                     // its call has ended
-//     sockets.retire("http://10.0.0.1:80", callBegan);          // a call to the address timed out
+//     sockets.markIdle(socket);                                 // its call has ended
+//     sockets.shutDownIdle("http://10.0.0.1:80", callStart);    // a call to the address timed out
 //
-// Thread safety: none, but wake() may be called from any thread.
+// Thread safety: none, except that wake() may be called from any thread.
 
 #ifndef PADDLEPIER_HTTP_TRANSFERSOCKETS_H
 #define PADDLEPIER_HTTP_TRANSFERSOCKETS_H
@@ -48,38 +48,38 @@
     TransferSockets(const TransferSockets &) = delete;
     TransferSockets &operator=(const TransferSockets &) = delete;
 
-    /** Sets the options of a new socket: TCP probes it while it rests. */
+    /** Sets the options of a new socket: TCP keepalive and a limit on unacknowledged data. */
     void setSocketOptions(int socket);
 
-    /** A call to @p address is under way at @p socket and waits to read, to write or for both. */
+    /** Registers interest in @p socket, over which a call to @p address is in flight, becoming readable, writable or either. */
     void watch(int socket, const std::string &address, bool reads, bool writes);
 
-    /** The call at @p socket has ended; it may be closed already if no connection was ever open there. */
+    /** The call over @p socket has ended. The socket may already be closed if its connection was never established. */
     void markIdle(int socket);
 
-    /** @p socket is about to be closed. */
+    /** Stops tracking @p socket, which is about to be closed. */
     void remove(int socket);
 
-    /** Waits up to @p patience for events of watched sockets or wake(). @return valid until the next call */
-    const std::vector<Event> &wait(Duration patience);
+    /** Waits up to @p timeout for events on watched sockets or for wake(). @return the events, valid until the next call */
+    const std::vector<Event> &wait(Duration timeout);
 
-    /** Whatever came at the sockets until then has been told by wait(). */
+    /** Time up to which all events on the sockets have been returned by wait(). */
     Timestamp eventsReportedUntil() const;
 
-    /** Ends a wait, this one or the next; calls until then cost no system call. */
+    /** Ends the current wait, or the next one. Further calls before that wait ends make no system call. */
     void wake();
 
-    /** Shuts connections to @p address down that have rested since before @p since. O(connections to the address). */
+    /** Shuts down connections to @p address that have been idle since before @p since. O(connections to the address). */
     void shutDownIdle(const std::string &address, Timestamp since);
 
 private:
     struct WatchedSocket {
         std::string address;
-        /** A call waited for an answer there, so that forget() will tell of its end. */
+        /** A call has waited for a response on it, so that remove() will be called when it is closed. */
         bool wasConnected = false;
-        /** As registered; none if the socket isn't registered. */
+        /** Events registered with epoll; 0 if the socket isn't registered. */
         std::uint32_t events = 0;
-        /** Infinite while a call is under way. */
+        /** InfiniteFuture while a call is in flight. */
         Timestamp idleSince = absl::InfiniteFuture();
     };
 
@@ -88,13 +88,13 @@
 
     int epoll = -1;
     int wakeup = -1;
-    /** wake() was called and no wait has ended by it yet. */
+    /** wake() was called and has not yet ended a wait. */
     std::atomic<bool> isWakePending{false};
     absl::flat_hash_map<int, WatchedSocket> sockets;
     // Invariant: holds exactly the keys of `sockets`, by address.
     absl::flat_hash_map<std::string, std::vector<int>> byAddress;
     std::vector<Event> readyEvents;
-    /** Waits in a row that may have left events, and when the first of them began. */
+    /** Number of consecutive waits that may have left events unreported, and the start of the first of them. */
     std::size_t incompleteWaits = 0;
     Timestamp firstIncompleteWait;
     Timestamp reportedUntil = absl::InfinitePast();
--- a/paddlepier/http/transfersockets_test.cpp
+++ b/paddlepier/http/transfersockets_test.cpp
@@ -1,9 +1,8 @@
-// Waking the thread that waits for sockets.
+// Waking the thread that waits for socket events.
 //
-// Symptom: a process that carries orders, or asks for advice, answers up to half a second late for good; the leader takes it to be
-// silent. Sequence: a call of wake() comes between the end of a wait and the reading of its descriptor; its mark stays while what it
-// has written is read; every later call finds the mark and writes nothing. What settled it: the client's thread waited its whole
-// patience each time, with work posted meanwhile.
+// Guards against a lost wakeup: wake() is called between the end of a wait and the read of its eventfd, which consumes the write while the flag
+// stays set. All later calls then find the flag set and write nothing, so that every wait lasts its full timeout. The process relays orders and
+// requests advice up to half a second late from then on, and the leader takes it for unresponsive.
 
 #include "paddlepier/http/transfersockets.h"
 
@@ -17,31 +16,31 @@
 namespace paddlepier::http
 {
 
-TEST_CASE("wake_whileAWaitEnds_leavesLaterCallsTheirEffect")
+TEST_CASE("wake_concurrentWithEndOfWait_doesNotDisableLaterCalls")
 {
-    constexpr int calls = 200'000;
-    constexpr int checked = 20;
+    constexpr int wakeCalls = 200'000;
+    constexpr int checkedCalls = 20;
     TransferSockets sockets;
-    std::atomic<bool> isOver{false};
+    std::atomic<bool> isStopped{false};
     std::atomic<int> waits{0};
     std::thread waiter([&] {
-        while (!isOver) {
+        while (!isStopped) {
             sockets.wait(absl::Seconds(2));
             ++waits;
         }
     });
-    for (int call = 0; call < calls; ++call) {
+    for (int call = 0; call < wakeCalls; ++call) {
         sockets.wake();
     }
     absl::SleepFor(absl::Milliseconds(50));
     int lost = 0;
-    for (int call = 0; call < checked && lost == 0; ++call) {
+    for (int call = 0; call < checkedCalls && lost == 0; ++call) {
         const int before = waits;
         sockets.wake();
         lost += testing::waitUntil([&] { return waits > before; }, absl::Seconds(1)) ? 0 : 1;
         absl::SleepFor(absl::Milliseconds(2));
     }
-    isOver = true;
+    isStopped = true;
     sockets.wake();
     waiter.join();
     CHECK(lost == 0);
