--- a/paddlepier/peer/framecodec.cpp
+++ b/paddlepier/peer/framecodec.cpp
@@ -1,4 +1,4 @@
-// Frames as bytes.
+// Encoding of frames.
 
 #include "paddlepier/peer/framecodec.h"
 
@@ -51,7 +51,7 @@
     return encodeFrame(hello);
 }
 
-std::optional<std::string> extractFrameBody(const std::string &buffer, std::size_t &offset, std::size_t mostBytes)
+std::optional<std::string> extractFrameBody(const std::string &buffer, std::size_t &offset, std::size_t maxBytes)
 {
     if (buffer.size() - offset < lengthBytes) {
         return std::nullopt;
@@ -59,8 +59,8 @@
     std::uint32_t length = 0;
     std::memcpy(&length, buffer.data() + offset, lengthBytes);
     length = ntohl(length);
-    if (length > mostBytes) {
-        throw FrameTooLargeError(absl::StrCat("a frame of ", length, " bytes"));
+    if (length > maxBytes) {
+        throw FrameTooLargeError(absl::StrCat("frame too large: ", length, " bytes"));
     }
     if (buffer.size() - offset - lengthBytes < length) {
         return std::nullopt;
--- a/paddlepier/peer/framecodec_test.cpp
+++ b/paddlepier/peer/framecodec_test.cpp
@@ -1,4 +1,4 @@
-// Frames that come in pieces, several at once, or too large.
+// Extraction of frames that arrive in pieces, several at once, or exceed the size limit.
 
 #include "paddlepier/peer/framecodec.h"
 
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr std::size_t mostBytes = 1000;
+constexpr std::size_t maxBytes = 1000;
 
 class FrameCodecFixture
 {
@@ -26,9 +26,9 @@
         return encodeFrame(frame);
     }
 
-    std::optional<std::string> take()
+    std::optional<std::string> extract()
     {
-        const std::optional<std::string> body = extractFrameBody(this->buffer, this->offset, mostBytes);
+        const std::optional<std::string> body = extractFrameBody(this->buffer, this->offset, maxBytes);
         return body ? std::optional(wire::unpack<wire::PeerFrameT>(*body).fromInstance) : std::nullopt;
     }
 
@@ -38,32 +38,32 @@
 
 } // namespace
 
-TEST_CASE_METHOD(FrameCodecFixture, "frame_inPieces_isTakenOnceItIsWhole")
+TEST_CASE_METHOD(FrameCodecFixture, "frame_inPieces_isExtractedOnceComplete")
 {
-    const std::string whole = bytes("a");
-    for (const char byte : whole) {
-        CHECK_FALSE(this->take());
+    const std::string encoded = bytes("a");
+    for (const char byte : encoded) {
+        CHECK_FALSE(this->extract());
         this->buffer += byte;
     }
-    CHECK(this->take() == "a");
-    CHECK(this->offset == whole.size());
+    CHECK(this->extract() == "a");
+    CHECK(this->offset == encoded.size());
 }
 
-TEST_CASE_METHOD(FrameCodecFixture, "frames_severalAtOnce_areTakenInOrder")
+TEST_CASE_METHOD(FrameCodecFixture, "frames_severalAtOnce_areExtractedInOrder")
 {
     this->buffer = bytes("a") + bytes("b");
-    CHECK(this->take() == "a");
-    CHECK(this->take() == "b");
-    CHECK_FALSE(this->take());
+    CHECK(this->extract() == "a");
+    CHECK(this->extract() == "b");
+    CHECK_FALSE(this->extract());
 }
 
-TEST_CASE_METHOD(FrameCodecFixture, "frame_overTheLimit_isRefused")
+TEST_CASE_METHOD(FrameCodecFixture, "frame_overLimit_isRejected")
 {
     this->buffer = std::string(4, '\x7f');
-    CHECK_THROWS_AS(this->take(), FrameTooLargeError);
+    CHECK_THROWS_AS(this->extract(), FrameTooLargeError);
 }
 
-TEST_CASE("keys_ofOtherLengthOrContent_areNotTheSame")
+TEST_CASE("keys_withDifferentLengthOrContent_areUnequal")
 {
     CHECK(constantTimeEquals("abc", "abc"));
     CHECK_FALSE(constantTimeEquals("abc", "abd"));
--- a/paddlepier/peer/sockets.cpp
+++ b/paddlepier/peer/sockets.cpp
@@ -1,4 +1,4 @@
-// Sockets between our own processes.
+// Sockets between paddlepier processes.
 
 #include "paddlepier/peer/sockets.h"
 
@@ -15,15 +15,15 @@
 {
 
 /**
- * Unacknowledged bytes end a connection after this time: three of TCP's shortest retransmissions. A connection that has
- * fallen silent, or a cut, then doesn't outlast itself by TCP's backoff.
+ * A connection is closed once data has been unacknowledged for this time: three of TCP's shortest retransmission intervals. Without the limit,
+ * TCP's backoff would keep an unresponsive connection open long after a network failure has ended.
  */
 constexpr unsigned int unacknowledgedMillis = 800;
 
-/** Probes of a silent incoming connection, in seconds and tries: it is given up after about four seconds. */
+/** Keepalive of incoming connections: an unresponsive one is closed after about four seconds. */
 constexpr int keepAliveIdleSeconds = 2;
 constexpr int keepAliveIntervalSeconds = 1;
-constexpr int keepAliveTries = 2;
+constexpr int keepAliveProbes = 2;
 
 void setOption(int socket, int level, int option, unsigned int value)
 {
@@ -39,9 +39,9 @@
 
 bool isSocketConnected(int socket)
 {
-    sockaddr_storage other{};
-    socklen_t size = sizeof(other);
-    return ::getpeername(socket, reinterpret_cast<sockaddr *>(&other), &size) == 0;
+    sockaddr_storage peer{};
+    socklen_t size = sizeof(peer);
+    return ::getpeername(socket, reinterpret_cast<sockaddr *>(&peer), &size) == 0;
 }
 
 void setOutgoingOptions(int socket)
@@ -55,7 +55,7 @@
     setOption(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
     setOption(socket, IPPROTO_TCP, TCP_KEEPIDLE, keepAliveIdleSeconds);
     setOption(socket, IPPROTO_TCP, TCP_KEEPINTVL, keepAliveIntervalSeconds);
-    setOption(socket, IPPROTO_TCP, TCP_KEEPCNT, keepAliveTries);
+    setOption(socket, IPPROTO_TCP, TCP_KEEPCNT, keepAliveProbes);
 }
 
 } // namespace paddlepier::peer
--- a/paddlepier/peer/sockets.h
+++ b/paddlepier/peer/sockets.h
@@ -1,4 +1,4 @@
-// Sockets between our own processes, and what makes a silent connection end.
+// Creation of sockets between paddlepier processes, and their options for the detection of unresponsive peers.
 //
 // Thread safety: free functions without state.
 
@@ -10,16 +10,16 @@
 namespace paddlepier::peer
 {
 
-/** A non-blocking stream socket of the endpoint's family; negative if there is none to be had. */
+/** Opens a non-blocking stream socket of the endpoint's address family. @return negative on failure */
 int openSocket(const Endpoint &endpoint);
 
-/** Sends small frames at once, and ends the connection when bytes stay unacknowledged. */
+/** Disables Nagle's algorithm, and limits how long sent data may stay unacknowledged before the connection is closed. */
 void setOutgoingOptions(int socket);
 
-/** Ends the connection when its other side is gone without a word. */
+/** Enables keepalive, so that a connection whose peer disappeared without closing it is closed. */
 void setIncomingOptions(int socket);
 
-/** The other side has taken the connection. */
+/** Whether the connection is established. */
 bool isSocketConnected(int socket);
 
 } // namespace paddlepier::peer
--- a/paddlepier/peer/transport.cpp
+++ b/paddlepier/peer/transport.cpp
@@ -1,4 +1,4 @@
-// Frames between entry instances over TCP.
+// Frames between entry instances over TCP, on epoll.
 
 #include "paddlepier/peer/transport.h"
 
@@ -29,26 +29,26 @@
 {
 
 /**
- * How often all connections are looked through. With 150 peers, of which a zone's can't be reached, to do so at every event cost a leader
- * two system calls for each of them some thousand times a second.
+ * Interval between passes over all connections. With 150 peers, of which those in one zone are unreachable, a pass at every event cost a leader
+ * two system calls per unreachable peer some thousand times a second.
  */
-constexpr Duration roundInterval = absl::Milliseconds(20);
-/** Longest wait for an event while a connection is opening, or is to be opened after a pause; otherwise. */
-constexpr int openingPollMillis = 20;
-constexpr int pollMillis = 200;
-constexpr Duration reconnectPause = absl::Milliseconds(50);
+constexpr Duration fullPassInterval = absl::Milliseconds(20);
+/** Maximum waits for events: while a connection is being established or waits for its next attempt, and otherwise. */
+constexpr int maxOpeningPollMillis = 20;
+constexpr int maxPollMillis = 200;
+constexpr Duration reconnectDelay = absl::Milliseconds(50);
 
 /**
- * Longest wait for a connection to open: several round trips of the slowest link (24 ms). A lost opening packet is sent
- * again by TCP only after a second, and a machine that has just come up would be found that much later.
+ * Several round trips of the slowest link (24 ms). TCP retransmits a lost SYN only after a second, so that without this limit a machine that
+ * has just started would be reached that much later.
  */
-constexpr Duration connectPatience = absl::Milliseconds(200);
+constexpr Duration connectTimeout = absl::Milliseconds(200);
 
-/** Incoming connections where the peers aren't known beforehand. */
-constexpr std::size_t mostUnknownPeers = 1024;
+/** Limit on incoming connections if the peers are not known in advance. */
+constexpr std::size_t maxUnknownPeers = 1024;
 
-/** Longest time that an incoming connection may take to say Hello. */
-constexpr Duration helloPatience = absl::Seconds(5);
+/** Time within which an incoming connection must send its Hello. */
+constexpr Duration helloTimeout = absl::Seconds(5);
 
 } // namespace
 
@@ -108,7 +108,7 @@
         log::error("peer", "frame.too-large", {{"to", instance}, {"bytes", bytes.size()}});
         return;
     }
-    bool isFirst = false;
+    bool isFirstOfBatch = false;
     {
         const absl::MutexLock lock(&this->mutex);
         const auto queued = this->sendQueues.find(instance);
@@ -116,13 +116,13 @@
             this->droppedFrames.add();
             return;
         }
-        isFirst = this->sendQueues.empty();
+        isFirstOfBatch = this->sendQueues.empty();
         this->sendQueues[instance] += bytes;
     }
     this->sentFrames.add();
     this->sentBytes.add(static_cast<std::int64_t>(bytes.size()));
-    // Whoever found nothing waiting has woken the thread already: one system call for a batch of frames.
-    if (isFirst) {
+    // Only the first frame of a batch wakes the thread, so that a batch costs one system call.
+    if (isFirstOfBatch) {
         this->wake();
     }
 }
@@ -154,7 +154,7 @@
     std::array<epoll_event, 64> events{};
     while (!this->isStopping) {
         const int count =
-            ::epoll_wait(this->epoll, events.data(), static_cast<int>(events.size()), this->hasOpeningConnections ? openingPollMillis : pollMillis);
+            ::epoll_wait(this->epoll, events.data(), static_cast<int>(events.size()), this->hasOpeningConnections ? maxOpeningPollMillis : maxPollMillis);
         for (int index = 0; index < count; ++index) {
             const int descriptor = events[static_cast<std::size_t>(index)].data.fd;
             if (descriptor == this->listener) {
@@ -171,7 +171,7 @@
         this->drainSendQueues();
         this->servePending();
         if (controlNow() >= this->nextFullPass) {
-            this->nextFullPass = controlNow() + roundInterval;
+            this->nextFullPass = controlNow() + fullPassInterval;
             this->serveAll();
         }
     }
@@ -214,23 +214,23 @@
 
 void Transport::Implementation::drainSendQueues()
 {
-    absl::flat_hash_map<std::string, std::string> taken;
+    absl::flat_hash_map<std::string, std::string> drained;
     {
         const absl::MutexLock lock(&this->mutex);
-        taken.swap(this->sendQueues);
+        drained.swap(this->sendQueues);
     }
-    for (auto &[name, bytes] : taken) {
+    for (auto &[name, bytes] : drained) {
         if (!this->outgoing.contains(name)) {
             const std::optional<Endpoint> endpoint = Endpoint::parse(name);
             if (!endpoint) {
                 this->droppedFrames.add();
-                log::warning("peer", "frame.dropped", {{"to", name}, {"reason", "the name is no address"}});
+                log::warning("peer", "frame.dropped", {{"to", name}, {"reason", "the instance name is not an address"}});
                 continue;
             }
             this->addOutgoing(name, *endpoint);
         }
         OutgoingConnection &connection = *this->outgoing.at(name);
-        // What is sent in the pause before the next try goes out with it; at a start, peers often come up within one.
+        // Frames queued during the reconnect delay are sent with the next attempt; at startup, peers often become reachable within one delay.
         if (connection.buffer.size() - connection.sentBytes + bytes.size() > maxQueuedBytes) {
             this->droppedFrames.add();
             continue;
@@ -251,11 +251,11 @@
         return;
     }
     if (!connection.isConnected) {
-        int problem = 0;
-        socklen_t size = sizeof(problem);
-        ::getsockopt(connection.socket, SOL_SOCKET, SO_ERROR, &problem, &size);
-        const bool isLate = controlNow() - connection.connectingSince > connectPatience;
-        if (problem != 0 || isLate) {
+        int socketError = 0;
+        socklen_t size = sizeof(socketError);
+        ::getsockopt(connection.socket, SOL_SOCKET, SO_ERROR, &socketError, &size);
+        const bool hasTimedOut = controlNow() - connection.connectingSince > connectTimeout;
+        if (socketError != 0 || hasTimedOut) {
             this->closeOutgoing(connection);
             return;
         }
@@ -304,8 +304,8 @@
     }
     connection.socket = -1;
     connection.isConnected = false;
-    connection.nextAttempt = controlNow() + reconnectPause;
-    // What waited is old by the time the peer is back; the protocols above send anew.
+    connection.nextAttempt = controlNow() + reconnectDelay;
+    // Queued frames are outdated by the time the peer is reachable again; the protocols that use the transport resend.
     connection.buffer.clear();
     connection.sentBytes = 0;
 }
@@ -318,8 +318,8 @@
     }
     OutgoingConnection &connection = *found->second;
     this->markPending(connection);
-    // Peers send nothing over this connection, so that its end is the only thing that it tells. What is sent next opens
-    // a new one at once, instead of being lost in this one.
+    // Peers send nothing over this connection, so only its end can be detected here. Closing it now makes the next frame open a new
+    // connection immediately instead of being lost in this one.
     if (isClosed && connection.isConnected) {
         this->closeOutgoing(connection);
         connection.nextAttempt = controlNow();
@@ -340,7 +340,7 @@
         }
         sent += static_cast<std::size_t>(count);
     }
-    // A long queue leaves in many small pieces: moving the rest to the front after each would cost its length squared.
+    // A long queue is sent in many small pieces; moving the remainder to the front after each would make the total cost quadratic.
     if (sent * 2 >= connection.buffer.size()) {
         connection.buffer.erase(0, std::exchange(sent, 0));
     }
@@ -356,9 +356,9 @@
         if (socket < 0) {
             return;
         }
-        // A peer has one connection; twice that leaves room for ones that a restart left half open.
-        const std::size_t most = this->settings.acceptsUnknownPeers ? mostUnknownPeers : this->settings.peers.size() * std::size_t{2} + std::size_t{8};
-        if (this->incoming.size() >= most) {
+        // A peer has one connection; twice that allows for half-open connections left by a restart.
+        const std::size_t maxIncoming = this->settings.acceptsUnknownPeers ? maxUnknownPeers : this->settings.peers.size() * std::size_t{2} + std::size_t{8};
+        if (this->incoming.size() >= maxIncoming) {
             this->refusedConnections.add();
             ::close(socket);
             continue;
@@ -382,7 +382,7 @@
 {
     for (auto connection = this->incoming.begin(); connection != this->incoming.end();) {
         const auto current = connection++;
-        if (!current->second.isAuthenticated && controlNow() - current->second.openedAt > helloPatience) {
+        if (!current->second.isAuthenticated && controlNow() - current->second.openedAt > helloTimeout) {
             this->refusedConnections.add();
             this->closeIncoming(current->first);
         }
@@ -431,13 +431,13 @@
 {
     const auto *hello = frame.body.AsHello();
     if (hello == nullptr) {
-        throw PeerRefusedError("a frame before Hello");
+        throw PeerRefusedError("first frame is not a Hello");
     }
     if (hello->version != protocolVersion) {
-        throw PeerRefusedError(absl::StrCat("protocol version ", hello->version, ", here ", protocolVersion));
+        throw PeerRefusedError(absl::StrCat("unsupported protocol version ", hello->version, "; expected ", protocolVersion));
     }
     if (!constantTimeEquals(hello->key, this->settings.cellKey)) {
-        throw PeerRefusedError("wrong cell key");
+        throw PeerRefusedError("cell key does not match");
     }
     const bool isKnown =
         this->settings.acceptsUnknownPeers ? Endpoint::parse(hello->instance).has_value() : this->settings.findPeer(hello->instance) != nullptr;
@@ -446,10 +446,10 @@
     }
     connection.instance = hello->instance;
     connection.isAuthenticated = true;
-    // It is up: an attempt to reach it that began before would only be repeated after a wait.
-    const auto towards = this->outgoing.find(hello->instance);
-    if (towards != this->outgoing.end() && towards->second->socket >= 0 && !towards->second->isConnected) {
-        this->reconnect(*towards->second);
+    // The peer is up. A connection attempt that started before may have been lost, and would be retried only after its timeout.
+    const auto outgoingToPeer = this->outgoing.find(hello->instance);
+    if (outgoingToPeer != this->outgoing.end() && outgoingToPeer->second->socket >= 0 && !outgoingToPeer->second->isConnected) {
+        this->reconnect(*outgoingToPeer->second);
     }
 }
 
--- a/paddlepier/peer/transport.h
+++ b/paddlepier/peer/transport.h
@@ -1,15 +1,15 @@
 // Frames between entry instances over TCP.
 //
-// Every instance keeps one outgoing connection to each peer and sends over that alone; what peers send comes in over
-// theirs. The first frame of a connection is a Hello with protocol version, cell key and instance name; a connection
-// that says anything else first is closed. Frames are length-prefixed FlatBuffers and bounded in size; what waits for a
-// peer is bounded too, and a frame beyond that is dropped: the protocols above expect loss.
+// Each instance keeps one outgoing connection per peer and uses it only for sending; frames from a peer arrive over the peer's own outgoing
+// connection. The first frame of a connection must be a Hello with protocol version, cell key and instance name; otherwise the connection is
+// closed. Frames are length-prefixed FlatBuffers of limited size. The queue for each peer is limited too, and a frame that exceeds it is
+// dropped: the protocols that use the transport tolerate loss.
 //
 // Example:
 //     Transport transport(settings, counters, [](wire::PeerFrameT frame) { ... });
 //     transport.send("atlanta-1-b", frame);
 //
-// Thread safety: send() from any thread; the receiver is called on the transport's own thread.
+// Thread safety: send() may be called from any thread; the receiver is called on the transport's thread.
 
 #ifndef PADDLEPIER_PEER_TRANSPORT_H
 #define PADDLEPIER_PEER_TRANSPORT_H
@@ -27,7 +27,7 @@
 
 constexpr std::size_t maxFrameBytes = 16U << 20U;
 
-/** Bytes that may wait for one peer. */
+/** Limit on the bytes queued for one peer. */
 constexpr std::size_t maxQueuedBytes = 32U << 20U;
 
 class Transport
@@ -42,10 +42,10 @@
     Transport(const Transport &) = delete;
     Transport &operator=(const Transport &) = delete;
 
-    /** Sends or drops a frame; never waits. */
+    /** Queues a frame for sending, or drops it; never blocks. */
     void send(const std::string &instance, const wire::PeerFrameT &frame);
 
-    /** Closes everything; nothing is received afterwards. */
+    /** Closes all connections; the receiver is not called afterwards. */
     void stop();
 
 private:
--- a/paddlepier/peer/transport_detail.h
+++ b/paddlepier/peer/transport_detail.h
@@ -1,8 +1,8 @@
 // Connections of one instance to its peers, and the thread that serves them.
 //
-// Included by transport.cpp alone.
+// Included only by transport.cpp.
 //
-// Thread safety: send() and stop() from any thread; everything else belongs to the transport's own thread.
+// Thread safety: send() and stop() may be called from any thread; everything else runs on the transport's thread.
 
 #ifndef PADDLEPIER_PEER_TRANSPORT_DETAIL_H
 #define PADDLEPIER_PEER_TRANSPORT_DETAIL_H
@@ -24,7 +24,7 @@
 namespace detail
 {
 
-/** Bytes that one read takes at most. */
+/** Limit on the bytes of one read. */
 constexpr std::size_t maxReadBytes = 65536;
 
 } // namespace detail
@@ -47,11 +47,11 @@
         Timestamp nextAttempt = absl::InfinitePast();
         Timestamp connectingSince;
         std::string buffer;
-        /** Of `buffer`: what has been sent already. */
+        /** Length of the prefix of `buffer` that has been sent. */
         std::size_t sentBytes = 0;
-        /** Length of the Hello at the beginning of `buffer`, until the connection is open. */
+        /** Length of the Hello at the start of `buffer`; valid until the connection is established. */
         std::size_t helloBytes = 0;
-        /** It is in the list of those to serve. */
+        /** It is in `pendingConnections`. */
         bool isPending = false;
     };
 
@@ -69,14 +69,14 @@
     void addOutgoing(const std::string &name, const Endpoint &endpoint);
     void serveOutgoing(OutgoingConnection &outgoing);
     void connect(OutgoingConnection &outgoing);
-    /** Gives an attempt up for a new one; what waits goes out with it. */
+    /** Replaces a connection attempt by a new one; queued frames are kept. */
     void reconnect(OutgoingConnection &outgoing);
     void closeOutgoing(OutgoingConnection &outgoing);
-    /** Something has happened at an outgoing connection: it is open, takes bytes again, or was closed by its peer. */
+    /** Handles an event on an outgoing connection: established, writable again, or closed by the peer. */
     void handleOutgoingEvent(int socket, bool isClosed);
-    /** Serves the connections with something to do: which have bytes to send, or at whose sockets something has happened. */
+    /** Serves the connections that have bytes to send or events on their sockets. */
     void servePending();
-    /** Serves all, for what only time changes: late connects, pauses that are over, peers that say nothing. */
+    /** Serves all connections, to handle what expires: connect timeouts, reconnect delays, and peers that send no Hello. */
     void serveAll();
     void markPending(OutgoingConnection &connection);
     void flush(OutgoingConnection &outgoing);
@@ -100,17 +100,17 @@
     int listener = -1;
     std::atomic<bool> isStopping{false};
     absl::Mutex mutex;
-    /** Bytes that send() handed over, by peer. */
+    /** Frames queued by send(), by peer. */
     absl::flat_hash_map<std::string, std::string> sendQueues ABSL_GUARDED_BY(mutex);
-    // Of the transport's thread once it runs.
+    // Accessed only by the transport's thread once it runs.
     absl::flat_hash_map<std::string, std::unique_ptr<OutgoingConnection>> outgoing;
     absl::flat_hash_map<int, OutgoingConnection *> bySocket;
     std::vector<OutgoingConnection *> pendingConnections;
     Timestamp nextFullPass = absl::InfinitePast();
-    /** Some connection is opening, or waits for its next try. */
+    /** Some connection is being established, or waits for its next attempt. */
     bool hasOpeningConnections = true;
     absl::flat_hash_map<int, IncomingConnection> incoming;
-    /** What one read brings; kept, since to clear it anew costs more than the read of a short frame. */
+    /** Reused by all reads, since clearing a new buffer costs more than reading a short frame. */
     std::vector<char> readBuffer = std::vector<char>(detail::maxReadBytes);
     std::thread thread;
 };
--- a/paddlepier/peer/transport_test.cpp
+++ b/paddlepier/peer/transport_test.cpp
@@ -1,4 +1,4 @@
-// Frames over loopback between two transports.
+// Frames between two transports over loopback.
 
 #include "paddlepier/peer/transport.h"
 
@@ -16,7 +16,7 @@
 namespace
 {
 
-/** One instance sends to another, which reads nothing until it is told to. */
+/** One instance sends to another, which processes no frame until `mayRead` is notified. */
 class TransportFixture
 {
 public:
@@ -55,8 +55,8 @@
     bool hasReceived(std::size_t count)
     {
         const absl::MutexLock lock(&this->mutex);
-        const auto isWhole = [this, count] { return this->received.size() >= count; };
-        return this->mutex.AwaitWithTimeout(absl::Condition(&isWhole), absl::Seconds(20));
+        const auto hasAll = [this, count] { return this->received.size() >= count; };
+        return this->mutex.AwaitWithTimeout(absl::Condition(&hasAll), absl::Seconds(20));
     }
 
     const std::uint16_t receiverPort = testing::freePort();
@@ -70,7 +70,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(TransportFixture, "frames_queuedForAPeerThatReadsLate_arriveWholeAndInOrder")
+TEST_CASE_METHOD(TransportFixture, "frames_queuedForSlowPeer_arriveCompleteAndInOrder")
 {
     constexpr std::size_t frames = 24;
     constexpr std::size_t frameBytes = 1 << 20U;
--- a/paddlepier/wire/codec.h
+++ b/paddlepier/wire/codec.h
@@ -1,10 +1,10 @@
-// Packing and checked unpacking of schema tables.
+// Serialization of schema tables, and deserialization of untrusted bytes.
 //
 // Example:
 //     const std::string bytes = wire::pack(request);              // wire::SubmitRequestT -> bytes
 //     const auto again = wire::unpack<wire::SubmitRequestT>(bytes);
 //
-// Guarantee: unpack() verifies the whole buffer first, so damaged or hostile bytes end in MalformedBodyError.
+// Guarantee: unpack() verifies the complete buffer before it reads any field, so corrupt or malicious bytes cause a MalformedBodyError.
 // Thread safety: free functions without state.
 
 #ifndef PADDLEPIER_WIRE_CODEC_H
@@ -22,7 +22,7 @@
 namespace paddlepier::wire
 {
 
-/** A native type of the generated object interface. */
+/** A native object type generated from a schema table, such as SubmitRequestT. */
 template<typename T>
 concept NativeTable = requires
 {
