--- a/paddlepier/wire/api_generated.h
+++ b/paddlepier/wire/api_generated.h
@@ -172,7 +172,7 @@
 struct ErrorReplyBuilder;
 struct ErrorReplyT;
 
-/// Every failure that can cross a process boundary.
+/// Errors that are reported to other processes.
 enum class ErrorCode : uint16_t {
   None = 0,
   MalformedBody = 1,
@@ -284,7 +284,7 @@
   return EnumNamesErrorCode()[index];
 }
 
-/// What a token's holder may do.
+/// Permissions of the holder of a token.
 enum class Role : uint8_t {
   None = 0,
   Viewer = 1,
@@ -408,7 +408,7 @@
   return EnumNamesTaskState()[index];
 }
 
-/// Why a job is not running in full. `None` if it is, or has ended.
+/// Reason why some tasks of a job are not running. `None` if all are, or the job has ended.
 enum class WaitReason : uint8_t {
   None = 0,
   Backoff = 1,
@@ -463,7 +463,7 @@
   return EnumNamesWaitReason()[index];
 }
 
-/// How one attempt of a task ended, as the worker saw it.
+/// Outcome of one attempt of a task, as reported by the worker.
 enum class AttemptOutcome : uint8_t {
   Succeeded = 0,
   Failed = 1,
@@ -497,7 +497,7 @@
   return EnumNamesAttemptOutcome()[index];
 }
 
-/// Final state of a quick request, as the caller is told.
+/// Final state of a quick request, as reported to the caller.
 enum class RequestOutcome : uint8_t {
   Completed = 0,
   Failed = 1,
@@ -610,7 +610,7 @@
   using type = Resources;
 };
 
-/// One lease: a permission of one worker to run one task under one epoch.
+/// A lease: permits one worker to run one task under one epoch.
 FLATBUFFERS_MANUALLY_ALIGNED_STRUCT(8) TaskLease FLATBUFFERS_FINAL_CLASS {
  private:
   uint64_t job_;
@@ -706,7 +706,7 @@
   uint64_t runSeconds() const {
     return GetField<uint64_t>(VT_RUNSECONDS, 0);
   }
-  /// Seconds after submission by which the job should have ended; 0 for none.
+  /// Deadline of the job in seconds after submission; 0 for none.
   uint64_t deadlineSeconds() const {
     return GetField<uint64_t>(VT_DEADLINESECONDS, 0);
   }
@@ -716,14 +716,14 @@
   bool urgent() const {
     return GetField<uint8_t>(VT_URGENT, 0) != 0;
   }
-  /// A task of such a job is never started a second time; an attempt whose end is not known leaves it `Lost`.
+  /// Tasks are never started a second time; one whose attempt has an unknown outcome becomes `Lost`.
   bool atMostOnce() const {
     return GetField<uint8_t>(VT_ATMOSTONCE, 0) != 0;
   }
   uint32_t maxAttempts() const {
     return GetField<uint32_t>(VT_MAXATTEMPTS, 3);
   }
-  /// Handed to the worker as it is.
+  /// Passed to the worker unchanged.
   const flatbuffers::String *command() const {
     return GetPointer<const flatbuffers::String *>(VT_COMMAND);
   }
@@ -892,11 +892,11 @@
   const paddlepier::wire::JobSpec *spec() const {
     return GetPointer<const paddlepier::wire::JobSpec *>(VT_SPEC);
   }
-  /// Chosen by the caller; the same id submitted again gives the same job.
+  /// Chosen by the caller, for idempotency: submitting the same id again returns the same job.
   const flatbuffers::String *submissionId() const {
     return GetPointer<const flatbuffers::String *>(VT_SUBMISSIONID);
   }
-  /// Empty: the data centre of the entry instance that takes the call.
+  /// If empty, the data centre of the entry instance that receives the call.
   const flatbuffers::String *dataCentre() const {
     return GetPointer<const flatbuffers::String *>(VT_DATACENTRE);
   }
@@ -1537,7 +1537,7 @@
   paddlepier::wire::WaitReason reason() const {
     return static_cast<paddlepier::wire::WaitReason>(GetField<uint8_t>(VT_REASON, 0));
   }
-  /// Workers lost under it.
+  /// Number of workers that were lost while they ran the task.
   uint32_t losses() const {
     return GetField<uint32_t>(VT_LOSSES, 0);
   }
@@ -2817,15 +2817,15 @@
   const flatbuffers::String *rack() const {
     return GetPointer<const flatbuffers::String *>(VT_RACK);
   }
-  /// IP address and port where quick requests are served; empty if it serves none.
+  /// IP address and port that serves quick requests; empty if the worker serves none.
   const flatbuffers::String *address() const {
     return GetPointer<const flatbuffers::String *>(VT_ADDRESS);
   }
-  /// Strictly increasing over all announcements of this worker, also after a restart.
+  /// Strictly increasing over all announcements of this worker, including across restarts.
   uint64_t sequence() const {
     return GetField<uint64_t>(VT_SEQUENCE, 0);
   }
-  /// The worker's own monotonic clock when the announcement was sent.
+  /// The worker's monotonic clock when it sent the announcement.
   int64_t clockMicros() const {
     return GetField<int64_t>(VT_CLOCKMICROS, 0);
   }
@@ -2841,15 +2841,15 @@
   bool draining() const {
     return GetField<uint8_t>(VT_DRAINING, 0) != 0;
   }
-  /// Greatest `term` of all replies that this worker has taken; 0 if none.
+  /// Highest `term` of all replies that this worker has accepted; 0 if none.
   uint64_t term() const {
     return GetField<uint64_t>(VT_TERM, 0);
   }
-  /// Sequence of the newest reply taken since this worker started; 0 if none.
+  /// Sequence of the latest reply that this worker has accepted since it started; 0 if none.
   uint64_t replySequence() const {
     return GetField<uint64_t>(VT_REPLYSEQUENCE, 0);
   }
-  /// The reply may be held back for so long while there is nothing to tell; 0 for an answer at once.
+  /// Maximum time that the reply may be delayed while there is nothing to report (long polling); 0 for an immediate reply.
   uint32_t waitMillis() const {
     return GetField<uint32_t>(VT_WAITMILLIS, 0);
   }
@@ -3072,7 +3072,7 @@
   std::string command{};
 };
 
-/// A task that the worker is to start now.
+/// A task that the worker must start.
 struct Assignment FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef AssignmentT NativeTableType;
   typedef AssignmentBuilder Builder;
@@ -3238,25 +3238,25 @@
   uint64_t sequence() const {
     return GetField<uint64_t>(VT_SEQUENCE, 0);
   }
-  /// Grows with each change of leadership. A reply with a smaller term than an earlier reply's must be ignored.
+  /// Increases with each change of leadership. A reply with a lower term than an earlier reply must be ignored.
   uint64_t term() const {
     return GetField<uint64_t>(VT_TERM, 0);
   }
-  /// Leases end at the announcement's clockMicros plus this.
+  /// Leases expire at the announcement's clockMicros plus this duration.
   uint32_t leaseMillis() const {
     return GetField<uint32_t>(VT_LEASEMILLIS, 0);
   }
   uint32_t nextAnnounceMillis() const {
     return GetField<uint32_t>(VT_NEXTANNOUNCEMILLIS, 0);
   }
-  /// Running tasks that may go on. A task that is in neither list must be stopped.
+  /// Running tasks that may continue. A task that is in neither `renewed` nor `started` must be stopped.
   const flatbuffers::Vector<const paddlepier::wire::TaskLease *> *renewed() const {
     return GetPointer<const flatbuffers::Vector<const paddlepier::wire::TaskLease *> *>(VT_RENEWED);
   }
   const flatbuffers::Vector<flatbuffers::Offset<paddlepier::wire::Assignment>> *started() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<paddlepier::wire::Assignment>> *>(VT_STARTED);
   }
-  /// Finished attempts that need not be reported again.
+  /// Finished attempts that have been recorded and need not be reported again.
   const flatbuffers::Vector<const paddlepier::wire::TaskLease *> *recorded() const {
     return GetPointer<const flatbuffers::Vector<const paddlepier::wire::TaskLease *> *>(VT_RECORDED);
   }
@@ -3376,7 +3376,7 @@
   uint32_t inUse = 0;
 };
 
-/// One entry instance's use of one worker's slots.
+/// The slots of one worker that one entry instance uses.
 struct ShareUse FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef ShareUseT NativeTableType;
   typedef ShareUseBuilder Builder;
@@ -3515,19 +3515,19 @@
   uint64_t incarnation() const {
     return GetField<uint64_t>(VT_INCARNATION, 0);
   }
-  /// Milliseconds since this run of the instance started.
+  /// Milliseconds since this incarnation of the instance started.
   uint64_t ageMillis() const {
     return GetField<uint64_t>(VT_AGEMILLIS, 0);
   }
   uint64_t sequence() const {
     return GetField<uint64_t>(VT_SEQUENCE, 0);
   }
-  /// Sequence of the newest reply taken; 0 if none.
+  /// Sequence of the latest reply that the instance has accepted; 0 if none.
   uint64_t baseSequence() const {
     return GetField<uint64_t>(VT_BASESEQUENCE, 0);
   }
-  /// `uses` holds every worker. If not, it holds only those with more in use than the share in the reply `baseSequence`;
-  /// a leader that didn't give that reply, or gave a later one, answers `Conflict`.
+  /// If true, `uses` lists every worker. Otherwise it lists only workers with more slots in use than the share in the reply `baseSequence`;
+  /// a leader that didn't send that reply, or has sent a later one, responds with `Conflict`.
   bool isComplete() const {
     return GetField<uint8_t>(VT_ISCOMPLETE, 0) != 0;
   }
@@ -3699,7 +3699,7 @@
   uint32_t connections() const {
     return GetField<uint32_t>(VT_CONNECTIONS, 0);
   }
-  /// On the worker's clock: requests that reach the worker later are refused by it.
+  /// Expiry on the worker's clock; the worker rejects requests that arrive later.
   int64_t validUntilWorkerMicros() const {
     return GetField<int64_t>(VT_VALIDUNTILWORKERMICROS, 0);
   }
@@ -3819,7 +3819,7 @@
   uint32_t leaseMillis() const {
     return GetField<uint32_t>(VT_LEASEMILLIS, 0);
   }
-  /// The shares are changes against the reply `baseSequence`; every other share is renewed as it was.
+  /// If true, `shares` lists only the changes since the reply `baseSequence`; all other shares are renewed unchanged.
   bool isChange() const {
     return GetField<uint8_t>(VT_ISCHANGE, 0) != 0;
   }
@@ -3907,7 +3907,7 @@
   std::vector<uint8_t> body{};
 };
 
-/// The recorded, whole answer of a request that must not be repeated.
+/// The recorded complete response to a request that must not be executed again.
 struct RecordedAnswer FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef RecordedAnswerT NativeTableType;
   typedef RecordedAnswerBuilder Builder;
@@ -4425,7 +4425,7 @@
   std::string text{};
 };
 
-/// One accepted version of the deployment's configuration.
+/// An accepted version of the deployment's configuration.
 struct Configuration FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef ConfigurationT NativeTableType;
   typedef ConfigurationBuilder Builder;
@@ -4438,11 +4438,11 @@
     VT_REVISION = 6,
     VT_TEXT = 8
   };
-  /// Grows by one with each accepted change; 0 before the first.
+  /// Increases by one with each accepted change; 0 before the first.
   uint64_t version() const {
     return GetField<uint64_t>(VT_VERSION, 0);
   }
-  /// Where the text comes from, such as a commit of the operators' version control.
+  /// Origin of the text, such as a commit in the operators' version control.
   const flatbuffers::String *revision() const {
     return GetPointer<const flatbuffers::String *>(VT_REVISION);
   }
@@ -4543,7 +4543,7 @@
     VT_REVISION = 6,
     VT_TEXT = 8
   };
-  /// The version that this change was made against.
+  /// Version that the change is based on.
   uint64_t expectedVersion() const {
     return GetField<uint64_t>(VT_EXPECTEDVERSION, 0);
   }
@@ -4800,7 +4800,7 @@
   FetchReplyT &operator=(FetchReplyT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// Without a configuration if the known one is current.
+/// `configuration` is missing if `knownVersion` is current.
 struct FetchReply FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef FetchReplyT NativeTableType;
   typedef FetchReplyBuilder Builder;
--- a/paddlepier/wire/ledger_generated.h
+++ b/paddlepier/wire/ledger_generated.h
@@ -988,7 +988,7 @@
   PlacementGroupT &operator=(PlacementGroupT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// All placements of one gang stand in one PlacementGroup: all are taken or none is.
+/// All placements of a gang form one PlacementGroup, which is accepted or refused as a unit.
 struct PlacementGroup FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef PlacementGroupT NativeTableType;
   typedef PlacementGroupBuilder Builder;
@@ -1151,7 +1151,7 @@
   ReportTasksT &operator=(ReportTasksT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// Observations of one worker that change tasks. Each names the epoch it was seen under.
+/// Observations on one worker that change tasks. Each names the epoch of the lease that it refers to.
 struct ReportTasks FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef ReportTasksT NativeTableType;
   typedef ReportTasksBuilder Builder;
@@ -1175,7 +1175,7 @@
   const flatbuffers::Vector<flatbuffers::Offset<paddlepier::wire::FinishedAttempt>> *finished() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<paddlepier::wire::FinishedAttempt>> *>(VT_FINISHED);
   }
-  /// Not running there any more, nor able to start; whether they ran isn't known.
+  /// Not running there any more and unable to start; whether they ran is unknown.
   const flatbuffers::Vector<const paddlepier::wire::TaskLease *> *gone() const {
     return GetPointer<const flatbuffers::Vector<const paddlepier::wire::TaskLease *> *>(VT_GONE);
   }
@@ -1287,7 +1287,7 @@
   std::vector<paddlepier::wire::TaskLease> unstarted{};
 };
 
-/// Leases that ran out on the worker's clock, drift margin included.
+/// Leases that have expired on the worker's clock, including the drift margin.
 struct ExpireLeases FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef ExpireLeasesT NativeTableType;
   typedef ExpireLeasesBuilder Builder;
@@ -1758,7 +1758,7 @@
     VT_COMMAND_TYPE = 6,
     VT_COMMAND = 8
   };
-  /// Wall clock of the leader, microseconds since 1970; never smaller than in the entry before.
+  /// Wall-clock time of the leader in microseconds since 1970; never less than in the previous entry.
   int64_t atMicros() const {
     return GetField<int64_t>(VT_ATMICROS, 0);
   }
@@ -2034,15 +2034,15 @@
   int64_t notBeforeMicros() const {
     return GetField<int64_t>(VT_NOTBEFOREMICROS, 0);
   }
-  /// A cancel was accepted: the task ends as Cancelled once it is known to have stopped.
+  /// A cancellation was accepted: the task becomes Cancelled once its stop is confirmed.
   bool cancelled() const {
     return GetField<uint8_t>(VT_CANCELLED, 0) != 0;
   }
-  /// Workers lost under it; of a service, those since it last ran for long. Older snapshots know of none.
+  /// Workers lost while running it; for a service, since its last long run. 0 in older snapshots.
   uint32_t losses() const {
     return GetField<uint32_t>(VT_LOSSES, 0);
   }
-  /// When the attempt under way was reported as started; 0 if it wasn't.
+  /// Time at which the active attempt was reported as started; 0 if it was not.
   int64_t startedAtMicros() const {
     return GetField<int64_t>(VT_STARTEDATMICROS, 0);
   }
@@ -2222,7 +2222,7 @@
   int64_t endedAtMicros() const {
     return GetField<int64_t>(VT_ENDEDATMICROS, 0);
   }
-  /// A task of the gang has ended otherwise than well: the others are stopped, then all are queued again.
+  /// A task of the gang has ended without success: the others are stopped, then all are queued again.
   bool gangRestarting() const {
     return GetField<uint8_t>(VT_GANGRESTARTING, 0) != 0;
   }
--- a/paddlepier/wire/peer_generated.h
+++ b/paddlepier/wire/peer_generated.h
@@ -651,7 +651,7 @@
   std::string votedFor{};
 };
 
-/// Term and vote of a replica; synced before any message that depends on it.
+/// Term and vote of a replica; synced to disk before any message that depends on them is sent.
 struct HardState FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef HardStateT NativeTableType;
   typedef HardStateBuilder Builder;
@@ -1069,11 +1069,11 @@
   bool preVote() const {
     return GetField<uint8_t>(VT_PREVOTE, 0) != 0;
   }
-  /// The leader itself asked for this election, so voters need not wait for its silence.
+  /// The leader requested this election (leadership transfer), so voters need not wait for its election timeout to expire.
   bool handOver() const {
     return GetField<uint8_t>(VT_HANDOVER, 0) != 0;
   }
-  /// Every voter has said that it knows no leader: one that has restarted since it heard from one need not wait.
+  /// Every voter has reported that it knows no leader, so a voter that has restarted since its last contact with a leader need not wait.
   bool afterRestart() const {
     return GetField<uint8_t>(VT_AFTERRESTART, 0) != 0;
   }
@@ -1183,7 +1183,7 @@
   bool preVote() const {
     return GetField<uint8_t>(VT_PREVOTE, 0) != 0;
   }
-  /// To a pre-vote: doesn't lead, has heard from no leader since it was started, and would grant the vote otherwise.
+  /// In a reply to a pre-vote: the voter is not the leader, has had no contact with a leader since it started, and would otherwise grant the vote.
   bool knowsNoLeader() const {
     return GetField<uint8_t>(VT_KNOWSNOLEADER, 0) != 0;
   }
@@ -1294,14 +1294,14 @@
   uint64_t commit() const {
     return GetField<uint64_t>(VT_COMMIT, 0);
   }
-  /// The leader's clock when this was sent; comes back in the reply and carries the leader's lease.
+  /// The leader's clock when it sent this; returned in the reply, where it extends the leader's lease.
   int64_t sentAtMicros() const {
     return GetField<int64_t>(VT_SENTATMICROS, 0);
   }
   const flatbuffers::Vector<flatbuffers::Offset<paddlepier::wire::LogRecord>> *entries() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<paddlepier::wire::LogRecord>> *>(VT_ENTRIES);
   }
-  /// The leader gives up leadership; the receiver starts an election at once.
+  /// The leader transfers leadership: the receiver starts an election immediately.
   bool handOver() const {
     return GetField<uint8_t>(VT_HANDOVER, 0) != 0;
   }
@@ -1851,7 +1851,7 @@
   std::string replica{};
 };
 
-/// A replica without a membership asks the group's other instances whether the group exists.
+/// Sent by a replica without a membership to query the group's other instances whether the group exists.
 struct JoinRequest FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef JoinRequestT NativeTableType;
   typedef JoinRequestBuilder Builder;
@@ -1965,7 +1965,7 @@
   bool formed() const {
     return GetField<uint8_t>(VT_FORMED, 0) != 0;
   }
-  /// Instances that hold a replica, as far as the sender knows.
+  /// Instances that host a replica, to the knowledge of the sender.
   const flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>> *members() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>> *>(VT_MEMBERS);
   }
@@ -2061,7 +2061,7 @@
   std::string text{};
 };
 
-/// The newest configuration that the sender has in force; without text if the receiver only needs the version.
+/// The latest configuration in force at the sender; without text if the receiver only needs the version.
 struct ConfigurationOffer FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef ConfigurationOfferT NativeTableType;
   typedef ConfigurationOfferBuilder Builder;
@@ -2441,7 +2441,7 @@
     VT_BODY_TYPE = 12,
     VT_BODY = 14
   };
-  /// Data centre whose ledger this frame belongs to.
+  /// Data centre of the ledger that this frame belongs to.
   const flatbuffers::String *group() const {
     return GetPointer<const flatbuffers::String *>(VT_GROUP);
   }
--- a/paddlepier/wire/workload_generated.h
+++ b/paddlepier/wire/workload_generated.h
@@ -204,23 +204,23 @@
 struct WorkReplyBuilder;
 struct WorkReplyT;
 
-/// How a run ended, as its worker listed it; Expired and Void are the leader's own findings.
+/// How a run ended. Reported by its worker, except for Expired and Void, which the leader determines.
 enum class RunEndKind : uint8_t {
   Done = 0,
-  /// By the task's own fault or the worker's; counts as an attempt.
+  /// Failed because of the task or the worker; counts as an attempt.
   Failed = 1,
   Stopped = 2,
-  /// The worker's lease ran out.
+  /// The worker's lease expired.
   Expired = 3,
-  /// Another member of the gang ended.
+  /// Stopped because another member of the gang ended.
   GangBroken = 4,
-  /// The other members of the gang didn't come in time.
+  /// Stopped because the other members of the gang did not start in time.
   GangIncomplete = 5,
-  /// Never started, and can't start any more.
+  /// Never started, and can no longer start.
   Void = 6,
-  /// The worker's life ended.
+  /// The worker's incarnation ended.
   WorkerLost = 7,
-  /// May still be under way on a worker that doesn't answer; its step allows a copy elsewhere. The room stays taken.
+  /// May still be active on an unresponsive worker; its step allows a copy elsewhere. Its capacity stays reserved until the end is confirmed.
   Superseded = 8,
   MIN = Done,
   MAX = Superseded
@@ -263,15 +263,15 @@
   return EnumNamesRunEndKind()[index];
 }
 
-/// What is known of a run when its worker is lost.
+/// State of a run, as far as known, when its worker is lost.
 enum class RunAtLoss : uint8_t {
-  /// No start of it was sent, or nothing is known: it says nothing about its task.
+  /// No start was sent, or nothing is known: the loss doesn't count for the task.
   NotBegun = 0,
-  /// A lasting run that had been at work: losses of workers before it weren't its task's doing.
+  /// A lasting run that had been running long enough to show that its task did not cause earlier losses: they are cleared.
   Settled = 1,
-  /// It may have been there, at work for a while, or ended unseen: the loss counts, but doesn't show its cause.
+  /// It may not have started, been running for a while, or ended unreported: the loss counts, but does not identify its cause.
   Unclear = 2,
-  /// It had just been started on a worker that answered.
+  /// It had just been started on a responsive worker.
   Fresh = 3,
   MIN = NotBegun,
   MAX = Fresh
@@ -304,13 +304,13 @@
   return EnumNamesRunAtLoss()[index];
 }
 
-/// How a worker's life came to its end.
+/// How a worker's incarnation ended.
 enum class LifeEnd : uint8_t {
-  /// It had said that it would leave; also what an entry without this field means.
+  /// It had announced its departure; also the meaning of an entry without this field.
   Left = 0,
-  /// Another life has answered at its address, or on its machine.
+  /// Another incarnation has responded at its address or on its machine.
   Crashed = 1,
-  /// Silent for long beyond its lease.
+  /// Unresponsive for a long time after its lease expired.
   Forgotten = 2,
   MIN = Left,
   MAX = Forgotten
@@ -343,9 +343,9 @@
 
 enum class JobFailureReason : uint8_t {
   None = 0,
-  /// A task, or a gang, has failed as often as its queue allows.
+  /// A task or gang has used up the attempts that its queue allows.
   AttemptsUsedUp = 1,
-  /// Worker after worker was lost under a task.
+  /// Too many workers were lost while running a task.
   WorkersLost = 2,
   MIN = None,
   MAX = WorkersLost
@@ -637,7 +637,7 @@
 bool VerifyCommand(flatbuffers::Verifier &verifier, const void *obj, Command type);
 bool VerifyCommandVector(flatbuffers::Verifier &verifier, const flatbuffers::Vector<flatbuffers::Offset<void>> *values, const flatbuffers::Vector<Command> *types);
 
-/// A caller's request about jobs, forwarded to the leader, which knows the queues.
+/// A caller's request about jobs, forwarded to the leader, which holds the queue configuration.
 enum class JobAction : uint8_t {
   Submit = 0,
   Show = 1,
@@ -817,7 +817,7 @@
 bool VerifyCarriedOrder(flatbuffers::Verifier &verifier, const void *obj, CarriedOrder type);
 bool VerifyCarriedOrderVector(flatbuffers::Verifier &verifier, const flatbuffers::Vector<flatbuffers::Offset<void>> *values, const flatbuffers::Vector<CarriedOrder> *types);
 
-/// What the leader answers to a call of its callers.
+/// Result of a call that was forwarded to the leader.
 enum class CallOutcome : uint8_t {
   Accepted = 0,
   Refused = 1,
@@ -825,7 +825,7 @@
   UnknownJob = 3,
   Invalid = 4,
   Unavailable = 5,
-  /// The queue asks for a key, and the caller's is no team's.
+  /// The queue requires a key, and the caller's key belongs to no team.
   Unauthenticated = 6,
   MIN = Accepted,
   MAX = Unauthenticated
@@ -901,7 +901,7 @@
   using type = Demand;
 };
 
-/// Most room that a team's runs may take on all workers together; 0 means no limit. In 64 bits, since it spans a whole deployment.
+/// Maximum capacity that a team's runs may use on all workers together; 0 means no limit. 64-bit, since it covers a complete deployment.
 FLATBUFFERS_MANUALLY_ALIGNED_STRUCT(8) Quota FLATBUFFERS_FINAL_CLASS {
  private:
   uint64_t milliProcessors_;
@@ -997,11 +997,11 @@
   const paddlepier::work::Demand *demand() const {
     return GetStruct<const paddlepier::work::Demand *>(VT_DEMAND);
   }
-  /// Rough; off by up to the factor that the queue's users get wrong.
+  /// Rough estimate; off by up to the factor by which the queue's users misjudge durations.
   uint32_t estimatedMillis() const {
     return GetField<uint32_t>(VT_ESTIMATEDMILLIS, 0);
   }
-  /// Earlier steps, all of whose tasks must be done first.
+  /// Earlier steps; all their tasks must be done first.
   const flatbuffers::Vector<uint32_t> *after() const {
     return GetPointer<const flatbuffers::Vector<uint32_t> *>(VT_AFTER);
   }
@@ -1011,7 +1011,7 @@
   bool isGang() const {
     return GetField<uint8_t>(VT_ISGANG, 0) != 0;
   }
-  /// The tasks run slower on more than one rack.
+  /// The tasks run slower if spread over several racks.
   bool prefersOneRack() const {
     return GetField<uint8_t>(VT_PREFERSONERACK, 0) != 0;
   }
@@ -1021,28 +1021,29 @@
   const flatbuffers::String *dataRack() const {
     return GetPointer<const flatbuffers::String *>(VT_DATARACK);
   }
-  /// Most tasks of the step on one worker; 0 means any number.
+  /// Maximum number of tasks of the step on one worker; 0 means no limit.
   uint32_t mostPerWorker() const {
     return GetField<uint32_t>(VT_MOSTPERWORKER, 0);
   }
   bool mayRunCopies() const {
     return GetField<uint8_t>(VT_MAYRUNCOPIES, 0) != 0;
   }
+  /// The tasks run until the job is cancelled: they are restarted however a run ends.
   bool isLasting() const {
     return GetField<uint8_t>(VT_ISLASTING, 0) != 0;
   }
   const flatbuffers::String *image() const {
     return GetPointer<const flatbuffers::String *>(VT_IMAGE);
   }
-  /// Tail latency that a lasting task owes its own users; 0 means none.
+  /// Tail latency that a lasting task has to provide to its users; 0 means no target.
   uint32_t targetLatencyMillis() const {
     return GetField<uint32_t>(VT_TARGETLATENCYMILLIS, 0);
   }
-  /// Takes the processors that others leave unused; only its memory is reserved.
+  /// Filling task: uses processors that other tasks leave idle. Workers reserve no processors for it.
   bool isFilling() const {
     return GetField<uint8_t>(VT_ISFILLING, 0) != 0;
   }
-  /// Tasks of a lasting step that our own orders may take away at a time.
+  /// Maximum number of tasks of a lasting step that the scheduler may stop at the same time.
   uint32_t mayMiss() const {
     return GetField<uint32_t>(VT_MAYMISS, 0);
   }
@@ -1263,7 +1264,7 @@
   const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::StepSpec>> *steps() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::StepSpec>> *>(VT_STEPS);
   }
-  /// 0: runs once, at once.
+  /// 0: runs once, immediately.
   uint32_t repetitions() const {
     return GetField<uint32_t>(VT_REPETITIONS, 0);
   }
@@ -1273,7 +1274,7 @@
   int64_t intervalMillis() const {
     return GetField<int64_t>(VT_INTERVALMILLIS, 0);
   }
-  /// Data centre whose callers wait for the job, as the instance says that took it; empty if it isn't known.
+  /// Data centre of the job's callers, as reported by the instance that accepted the job; empty if unknown.
   const flatbuffers::String *callersDataCentre() const {
     return GetPointer<const flatbuffers::String *>(VT_CALLERSDATACENTRE);
   }
@@ -1385,7 +1386,7 @@
   uint32_t validMillis = 0;
 };
 
-/// Cost and lifetime of one call for advice.
+/// Cost of one advice call, and validity of its result.
 struct AdvicePolicy FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef AdvicePolicyT NativeTableType;
   typedef AdvicePolicyBuilder Builder;
@@ -1519,7 +1520,7 @@
   uint32_t timeoutMillis() const {
     return GetField<uint32_t>(VT_TIMEOUTMILLIS, 0);
   }
-  /// 0 comes first and may preempt greater ones.
+  /// 0 is the highest priority; a queue may preempt queues with greater values.
   uint32_t priority() const {
     return GetField<uint32_t>(VT_PRIORITY, 0);
   }
@@ -1532,11 +1533,11 @@
   uint32_t targetLatencyMillis() const {
     return GetField<uint32_t>(VT_TARGETLATENCYMILLIS, 0);
   }
-  /// Missing: any worker of the service may run the queue's steps.
+  /// If missing, any worker of the service may run the queue's steps.
   const paddlepier::work::AdvicePolicy *advice() const {
     return GetPointer<const paddlepier::work::AdvicePolicy *>(VT_ADVICE);
   }
-  /// Serves callers without a key.
+  /// Accepts callers without a key.
   bool isPublic() const {
     return GetField<uint8_t>(VT_ISPUBLIC, 0) != 0;
   }
@@ -1705,11 +1706,11 @@
   const flatbuffers::String *name() const {
     return GetPointer<const flatbuffers::String *>(VT_NAME);
   }
-  /// Its workers refuse what doesn't fit.
+  /// Its workers refuse tasks that exceed their free capacity.
   bool guardsCapacity() const {
     return GetField<uint8_t>(VT_GUARDSCAPACITY, 0) != 0;
   }
-  /// Its machines are off; nothing is placed there.
+  /// Spare service: its machines are switched off, and nothing is placed there.
   bool isSpare() const {
     return GetField<uint8_t>(VT_ISSPARE, 0) != 0;
   }
@@ -1813,11 +1814,11 @@
   const flatbuffers::String *name() const {
     return GetPointer<const flatbuffers::String *>(VT_NAME);
   }
-  /// Secrets: they appear in no log line, metric or message.
+  /// Secrets: they must not appear in log lines, metrics or messages.
   const flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>> *keys() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>> *>(VT_KEYS);
   }
-  /// Jobs a second that the team is entitled to, and its share where the cell is full.
+  /// Jobs per second that the team is entitled to, and its relative share when the cell is full.
   uint32_t weight() const {
     return GetField<uint32_t>(VT_WEIGHT, 0);
   }
@@ -1920,7 +1921,7 @@
   ChangeConfigurationT &operator=(ChangeConfigurationT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// `text` is kept as it was sent, so that it can be read back unchanged.
+/// `text` is stored as received, so that it can be returned unchanged.
 struct ChangeConfiguration FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef ChangeConfigurationT NativeTableType;
   typedef ChangeConfigurationBuilder Builder;
@@ -1947,7 +1948,7 @@
   const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::ServiceSpec>> *services() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::ServiceSpec>> *>(VT_SERVICES);
   }
-  /// None in older entries.
+  /// Missing in older entries.
   const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::TeamSpec>> *teams() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::TeamSpec>> *>(VT_TEAMS);
   }
@@ -2060,7 +2061,7 @@
   SubmitJobT &operator=(SubmitJobT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// `team` is the one whose key the caller showed; empty if none was asked for, and in older entries.
+/// `team` is the team of the caller's key; empty if no key was required, and in older entries.
 struct SubmitJob FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef SubmitJobT NativeTableType;
   typedef SubmitJobBuilder Builder;
@@ -2253,7 +2254,7 @@
   uint32_t index = 0;
 };
 
-/// One task of a job: occurrence, step and index count from 0.
+/// Key of one task of a job; occurrence, step and index count from 0.
 struct TaskKey FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef TaskKeyT NativeTableType;
   typedef TaskKeyBuilder Builder;
@@ -2371,7 +2372,7 @@
   PlacementT &operator=(PlacementT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// Beside each worker's id stands when its life was born, in milliseconds since 1970; 0 where it has never said, and in older entries.
+/// `worker` and `born` identify an incarnation. `born` is its start time in milliseconds since 1970; 0 if never reported, and in older entries.
 struct Placement FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef PlacementT NativeTableType;
   typedef PlacementBuilder Builder;
@@ -2598,11 +2599,11 @@
   const flatbuffers::String *checkpoint() const {
     return GetPointer<const flatbuffers::String *>(VT_CHECKPOINT);
   }
-  /// The worker's number of this end; 0 if the leader found it.
+  /// Sequence number that the worker gave to this end; 0 if the leader determined the end.
   uint64_t sequence() const {
     return GetField<uint64_t>(VT_SEQUENCE, 0);
   }
-  /// Of an end that the leader found on a worker that doesn't answer.
+  /// Set for an end that the leader determined for an unresponsive worker.
   paddlepier::work::RunAtLoss atLoss() const {
     return static_cast<paddlepier::work::RunAtLoss>(GetField<uint8_t>(VT_ATLOSS, 0));
   }
@@ -2734,7 +2735,7 @@
   const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::RunEnd>> *ends() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::RunEnd>> *>(VT_ENDS);
   }
-  /// The worker itself has answered: it wasn't lost.
+  /// The worker itself has responded, so that it was not lost.
   bool hasAnswered() const {
     return GetField<uint8_t>(VT_HASANSWERED, 0) != 0;
   }
@@ -2842,7 +2843,7 @@
   RegisterWorkerT &operator=(RegisterWorkerT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// One life of a worker, as it announces itself.
+/// Registration of one incarnation of a worker, as announced by the worker.
 struct RegisterWorker FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef RegisterWorkerT NativeTableType;
   typedef RegisterWorkerBuilder Builder;
@@ -2886,7 +2887,7 @@
   bool isDraining() const {
     return GetField<uint8_t>(VT_ISDRAINING, 0) != 0;
   }
-  /// Number of the announcement that this stands for; an older one of the same life changes nothing. 0 in older entries.
+  /// Sequence number of the announcement; an older one of the same incarnation is ignored. 0 in older entries.
   uint64_t sequence() const {
     return GetField<uint64_t>(VT_SEQUENCE, 0);
   }
@@ -3046,7 +3047,7 @@
   RemoveWorkerT &operator=(RemoveWorkerT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// The life is over: nothing of it runs any more.
+/// The incarnation has ended: none of its runs is active any more.
 struct RemoveWorker FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef RemoveWorkerT NativeTableType;
   typedef RemoveWorkerBuilder Builder;
@@ -3068,18 +3069,18 @@
   paddlepier::work::LifeEnd end() const {
     return static_cast<paddlepier::work::LifeEnd>(GetField<uint8_t>(VT_END, 0));
   }
-  /// What is known of the runs that went with it.
+  /// State of the runs that were lost with it, as far as known.
   const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::RunEnd>> *lost() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::RunEnd>> *>(VT_LOST);
   }
   uint64_t born() const {
     return GetField<uint64_t>(VT_BORN, 0);
   }
-  /// Birth of the next life under this id, where that one is why this one is over; 0 otherwise.
+  /// Start time of the next incarnation under this id, if that one replaced this one; 0 otherwise.
   uint64_t nextBorn() const {
     return GetField<uint64_t>(VT_NEXTBORN, 0);
   }
-  /// Starts that reached the next life, which runs them: they are its runs now. Of each, the task and the run count.
+  /// Runs whose starts reached the next incarnation: they are moved to it. Only task and run are evaluated.
   const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::RunEnd>> *moved() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::RunEnd>> *>(VT_MOVED);
   }
@@ -3191,7 +3192,7 @@
   bool isEvacuated = false;
 };
 
-/// While a data centre is evacuated nothing is placed on its workers. Setting what is set already changes nothing.
+/// While a data centre is evacuated, nothing is placed on its workers; active runs continue. Idempotent.
 struct ChangeEvacuation FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef ChangeEvacuationT NativeTableType;
   typedef ChangeEvacuationBuilder Builder;
@@ -3291,7 +3292,7 @@
     VT_COMMAND_TYPE = 6,
     VT_COMMAND = 8
   };
-  /// Wall clock of the leader, milliseconds since 1970; never smaller than in the entry before.
+  /// Wall-clock time of the leader in milliseconds since 1970; never less than in the previous entry.
   int64_t atMillis() const {
     return GetField<int64_t>(VT_ATMILLIS, 0);
   }
@@ -3460,11 +3461,11 @@
   bool isDone() const {
     return GetField<uint8_t>(VT_ISDONE, 0) != 0;
   }
-  /// Highest run given out; 0 before the first.
+  /// Number of the newest run placed; 0 before the first.
   uint32_t lastRun() const {
     return GetField<uint32_t>(VT_LASTRUN, 0);
   }
-  /// Worker of the run under way; empty if none is.
+  /// Worker of the active run; empty if none is active.
   const flatbuffers::String *worker() const {
     return GetPointer<const flatbuffers::String *>(VT_WORKER);
   }
@@ -3477,11 +3478,11 @@
   bool everStarted() const {
     return GetField<uint8_t>(VT_EVERSTARTED, 0) != 0;
   }
-  /// Workers lost under it; none are known of where an older snapshot leaves them out.
+  /// Workers lost while the task may have run there; missing in older snapshots.
   const flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>> *lostWorkers() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>> *>(VT_LOSTWORKERS);
   }
-  /// Of these, the ones on which it had just been started.
+  /// Of these, those on which it had just been started.
   uint32_t freshLosses() const {
     return GetField<uint32_t>(VT_FRESHLOSSES, 0);
   }
@@ -3489,11 +3490,11 @@
   int64_t placedAtMillis() const {
     return GetField<int64_t>(VT_PLACEDATMILLIS, 0);
   }
-  /// Placements since so many workers were lost under it that it may be started only twice more.
+  /// Placements since so many workers were lost that only two more starts (twice more) are allowed.
   uint32_t lastTries() const {
     return GetField<uint32_t>(VT_LASTTRIES, 0);
   }
-  /// Of the worker of the run under way.
+  /// Start time of the incarnation that `worker` names.
   uint64_t born() const {
     return GetField<uint64_t>(VT_BORN, 0);
   }
@@ -3672,7 +3673,7 @@
   const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::TaskRecord>> *tasks() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::TaskRecord>> *>(VT_TASKS);
   }
-  /// Of a gang: runs that failed as a whole, and the newest of them.
+  /// For a gang: number of failed runs, each counted once for all members, and the newest of them.
   uint32_t gangFailures() const {
     return GetField<uint32_t>(VT_GANGFAILURES, 0);
   }
@@ -3842,7 +3843,7 @@
   JobFailureT &operator=(JobFailureT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// Why a job has failed.
+/// Reason for which a job has failed.
 struct JobFailure FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef JobFailureT NativeTableType;
   typedef JobFailureBuilder Builder;
@@ -3978,7 +3979,7 @@
   const flatbuffers::String *id() const {
     return GetPointer<const flatbuffers::String *>(VT_ID);
   }
-  /// As it stood in the configuration when the job was accepted.
+  /// The queue's configuration at the time when the job was accepted.
   const paddlepier::work::QueueSpec *queue() const {
     return GetPointer<const paddlepier::work::QueueSpec *>(VT_QUEUE);
   }
@@ -4000,11 +4001,11 @@
   const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::OccurrenceRecord>> *occurrences() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::OccurrenceRecord>> *>(VT_OCCURRENCES);
   }
-  /// Missing while the job hasn't failed, and in older snapshots.
+  /// Missing if the job has not failed, and in older snapshots.
   const paddlepier::work::JobFailure *failure() const {
     return GetPointer<const paddlepier::work::JobFailure *>(VT_FAILURE);
   }
-  /// Empty for a job of no team, and in older snapshots.
+  /// Empty for a job without a team, and in older snapshots.
   const flatbuffers::String *team() const {
     return GetPointer<const flatbuffers::String *>(VT_TEAM);
   }
@@ -4157,7 +4158,7 @@
   CopyRecordT &operator=(CopyRecordT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// A superseded run whose end isn't known. `team` is the one whose quota it takes, and `quotaDemand` what it takes of that.
+/// A superseded run whose end is not confirmed. `team` is the team whose quota it uses, `quotaDemand` the amount.
 struct CopyRecord FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef CopyRecordT NativeTableType;
   typedef CopyRecordBuilder Builder;
@@ -4310,7 +4311,7 @@
   const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::CopyRecord>> *copies() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::CopyRecord>> *>(VT_COPIES);
   }
-  /// Tasks whose run there was given up with its lease, while it isn't known whether the worker is lost or cut off.
+  /// Tasks whose run there ended with an expired lease, while the worker may be lost or merely partitioned.
   const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::TaskKey>> *lapsed() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::TaskKey>> *>(VT_LAPSED);
   }
@@ -4438,7 +4439,7 @@
   const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::WorkerRecord>> *workers() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::WorkerRecord>> *>(VT_WORKERS);
   }
-  /// None in older snapshots.
+  /// Missing in older snapshots.
   const flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>> *evacuatedDataCentres() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<flatbuffers::String>> *>(VT_EVACUATEDDATACENTRES);
   }
@@ -4551,7 +4552,7 @@
   JobCallT &operator=(JobCallT o) FLATBUFFERS_NOEXCEPT;
 };
 
-/// `key` is what the caller has shown to be of a team; empty if it has shown none.
+/// `key` is the team key that the caller sent; empty if it sent none.
 struct JobCall FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef JobCallT NativeTableType;
   typedef JobCallBuilder Builder;
@@ -4859,7 +4860,7 @@
   uint64_t sequence = 0;
 };
 
-/// Announcements that told nothing new, and that a replica which doesn't lead has answered.
+/// Announcements without changes that a replica other than the leader has answered.
 struct Heartbeat FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef HeartbeatT NativeTableType;
   typedef HeartbeatBuilder Builder;
@@ -5227,8 +5228,8 @@
   uint64_t incarnation = 0;
 };
 
-/// Sent by every instance without a replica from time to time: keeps it known to the leader.
-/// `incarnation` is another one after each start of the instance.
+/// Sent periodically by every instance without a replica, so that the leader keeps it in its list of instances.
+/// `incarnation` differs after each start of the instance.
 struct PresenceCall FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef PresenceCallT NativeTableType;
   typedef PresenceCallBuilder Builder;
@@ -5588,7 +5589,7 @@
   uint32_t watchMillis = 0;
 };
 
-/// An order of the leader to a worker, carried out by another core instance.
+/// An order of the leader to a worker, relayed by another core instance.
 struct PollCarried FLATBUFFERS_FINAL_CLASS : private flatbuffers::Table {
   typedef PollCarriedT NativeTableType;
   typedef PollCarriedBuilder Builder;
@@ -6330,7 +6331,7 @@
     VT_ENDED = 12,
     VT_BORN = 14
   };
-  /// Number of the kind of answer, in the order of the product's own enumeration.
+  /// Kind of answer, as the number of the enumerator in the C++ code.
   uint8_t kind() const {
     return GetField<uint8_t>(VT_KIND, 0);
   }
@@ -6346,7 +6347,7 @@
   const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::RunEnd>> *ended() const {
     return GetPointer<const flatbuffers::Vector<flatbuffers::Offset<paddlepier::work::RunEnd>> *>(VT_ENDED);
   }
-  /// Of the life that answered; 0 if the answer doesn't say.
+  /// Start time of the incarnation that answered; 0 if the answer doesn't include it.
   uint64_t born() const {
     return GetField<uint64_t>(VT_BORN, 0);
   }
