--- a/paddlepier/execution/runs.cpp
+++ b/paddlepier/execution/runs.cpp
@@ -1,4 +1,4 @@
-// Carries the ledger's placements out on the workers: starts, stops and orders without an answer.
+// Dispatcher: starts, stops, and orders without an answer.
 
 #include "paddlepier/base/log.h"
 #include "paddlepier/execution/dispatcher.h"
@@ -11,23 +11,23 @@
 namespace
 {
 
-/** A sound worker answers within a few round trips; a slowed one within some tenths of a second. */
+/** A healthy worker answers within a few round trips, a slow one within some tenths of a second. */
 constexpr Duration orderTimeout = absl::Milliseconds(900);
 
 /** Pause before an order without an answer is sent again. */
 constexpr Duration orderRetryPause = absl::Milliseconds(150);
 
-/** Starts sent for one run before it is given up and kept from starting. */
-constexpr std::uint32_t mostStartCalls = 3;
+/** Number of starts sent for one run before it is stopped instead, so that it can't start any more. */
+constexpr std::uint32_t maxStartCalls = 3;
 
-/** How often all runs are looked through for jobs that have ended meanwhile; it costs about 0.3 ms with 5,000 runs. */
-constexpr Duration needlessInterval = absl::Milliseconds(50);
+/** How often all runs are scanned for jobs that have ended; a scan costs about 0.3 ms with 5,000 runs. */
+constexpr Duration obsoleteCheckInterval = absl::Milliseconds(50);
 
-/** Pause before a start that waits for its worker to answer again is looked at once more. */
-constexpr Duration unreachablePause = absl::Milliseconds(20);
+/** Pause before a start is checked again that waits for its worker to become reachable. */
+constexpr Duration unreachableRetryPause = absl::Milliseconds(20);
 
-/** A stop is sent again if the run is still listed after this time, beyond what a stop may take. */
-constexpr Duration stopPatience = absl::Milliseconds(1500);
+/** A stop is sent again if the run is still listed after this time, in addition to the time that a stop may take. */
+constexpr Duration stopTimeout = absl::Milliseconds(1500);
 
 } // namespace
 
@@ -51,7 +51,7 @@
     if (job.hasEnded()) {
         return true;
     }
-    // The members of a gang end together; of copies, the others are stopped when the first is done.
+    // The members of a gang end together. Of other steps with copies, the remaining copies are stopped when the first is done.
     const work::StepSpecT &step = job.stepSpec(key.step);
     return step.mayRunCopies && !step.isGang && job.task(key).isDone;
 }
@@ -62,10 +62,10 @@
         return;
     }
     this->mayHaveObsoleteRuns = false;
-    this->nextObsoleteCheck = now + needlessInterval;
+    this->nextObsoleteCheck = now + obsoleteCheckInterval;
     const workload::Job *job = nullptr;
     for (auto &[key, track] : this->tracks) {
-        // The runs of a job follow each other.
+        // The runs of a job are adjacent in the map.
         if (job == nullptr || job->id() != key.job) {
             job = this->state.findJob(key.job);
         }
@@ -77,7 +77,7 @@
 
 void Dispatcher::driveRun(Timestamp now, const workload::TaskKey &key, RunTrack &track, UnsentRuns &unsent)
 {
-    // What runs is followed by polls, and an answer or a worker's first list sets the run due again.
+    // Running runs are tracked by polls. An answer, or a worker's first list, schedules the run again.
     const auto view = this->views.find(track.worker);
     if (track.phase == RunPhase::Running || track.isCallInFlight || view == this->views.end() || view->second.isFenced || !view->second.hasListed) {
         return;
@@ -96,9 +96,9 @@
 void Dispatcher::driveStop(Timestamp now, const workload::TaskKey &key, RunTrack &track)
 {
     const bool isSettled = track.settledAt < absl::InfiniteFuture();
-    const Timestamp patientUntil = isSettled ? track.settledAt + this->options.stopGrace + stopPatience : now;
-    if (patientUntil > now) {
-        this->runTimers.schedule(key, patientUntil);
+    const Timestamp stopDueAt = isSettled ? track.settledAt + this->options.stopGrace + stopTimeout : now;
+    if (stopDueAt > now) {
+        this->runTimers.schedule(key, stopDueAt);
         return;
     }
     track.isCallInFlight = true;
@@ -108,31 +108,31 @@
 void Dispatcher::driveStart(Timestamp now, const workload::TaskKey &key, RunTrack &track, UnsentRuns &unsent)
 {
     if (this->state.isEvacuated(*this->state.findWorker(track.worker))) {
-        // Placed before the evacuation; a start that was sent may still be on its way, and is kept from beginning.
+        // Placed before the evacuation. A start that was sent may still arrive, so the run is stopped to prevent it.
         this->cancelStart(now, key, track, StopReason::Evacuated, unsent);
         return;
     }
     if (!this->views.at(track.worker).isReachable()) {
         if (track.startCalls == 0) {
-            // Nothing was sent: the task needn't wait for this worker.
+            // Nothing was sent, so the task can be placed elsewhere.
             unsent.emplace_back(key, track);
         } else {
-            this->runTimers.schedule(key, now + unreachablePause);
+            this->runTimers.schedule(key, now + unreachableRetryPause);
         }
         return;
     }
     if (this->state.findWorker(track.worker)->isOvercommitted()) {
-        // Its room has shrunk since the task was placed, and a worker that doesn't guard its room would take the task all the same.
+        // The worker's capacity was reduced after the task was placed, and a worker that doesn't check its capacity would accept the task anyway.
         this->cancelStart(now, key, track, StopReason::RoomShrunk, unsent);
         return;
     }
     if (this->isTeamOverQuota(key)) {
-        // The quota was lowered since the task was placed.
+        // The quota was lowered after the task was placed.
         this->cancelStart(now, key, track, StopReason::QuotaLowered, unsent);
         return;
     }
-    const bool isTicketOver = now > track.ticketValidUntil;
-    if (track.startCalls >= mostStartCalls || (isTicketOver && track.startCalls > 0) || track.ticketValidUntil == absl::InfinitePast()) {
+    const bool isTicketExpired = now > track.ticketValidUntil;
+    if (track.startCalls >= maxStartCalls || (isTicketExpired && track.startCalls > 0) || track.ticketValidUntil == absl::InfinitePast()) {
         this->stopRun(now, key, track, StopReason::StartUnsettled);
         return;
     }
@@ -207,7 +207,7 @@
     case AnswerKind::OtherLife:
         return;
     }
-    // The worker has done nothing. An earlier call of this start may still be carried out, unless a stop comes first.
+    // The worker hasn't executed this order. An earlier call of the same start may still be executed unless a stop arrives first.
     if (track->mayStartLate) {
         this->stopRun(now, order.task, *track, StopReason::StartUnsettled);
     } else {
@@ -235,7 +235,7 @@
     const auto superseded = this->supersededTracks.find({call.worker, order.task, order.run});
     if (track == nullptr && superseded != this->supersededTracks.end()) {
         superseded->second.isStopInFlight = false;
-        // The first confirmation counts: a poll that is sent after it tells whether the run is over.
+        // The first confirmation counts: a poll that is sent after it shows whether the run has ended.
         superseded->second.settledAt = isSettled ? std::min(superseded->second.settledAt, now) : superseded->second.settledAt;
     }
     if (track == nullptr) {
--- a/paddlepier/execution/runtrack.h
+++ b/paddlepier/execution/runtrack.h
@@ -1,4 +1,4 @@
-// Where one run stands between its placement and its end, as the leader's dispatcher knows it.
+// The state of one run between its placement and its end, as the leader's dispatcher knows it.
 //
 // Thread safety: plain values; owned by the dispatcher.
 
@@ -18,19 +18,23 @@
 {
 
 enum class RunPhase {
-    /** Placed; the worker hasn't confirmed the start. */
+    /** Placed, but the worker hasn't confirmed the start. */
     Starting,
     Running,
-    /** Is to end, or must be kept from starting. */
+    /** Must end, or must be prevented from starting. */
     Stopping
 };
 
 /**
- * A run that its worker has answered for this long with, since it began, didn't take it down by starting. Longer than the
- * start-up of a lasting task (4 s), and short enough to keep other work off a worker meanwhile.
+ * A run counts as settled when its worker has still answered this long after the run started: then starting it did not crash the worker. Longer than
+ * the start-up of a lasting task (4 s), and short enough that other work is kept off the worker only briefly.
  */
 constexpr Duration settlingTime = absl::Seconds(5);
 
+/**
+ * Why a run is stopped. StandsStill: it has stalled. StartUnsettled: its start may still be executed and must be prevented. Disturbs: it is a
+ * filling run that interferes with serving runs. RoomShrunk: the capacity of its worker was reduced.
+ */
 enum class StopReason { None, JobEnded, Preempted, StandsStill, WorkerLeaves, StartUnsettled, Disturbs, GangIncomplete, RoomShrunk, QuotaLowered, Evacuated };
 const char *nameOf(StopReason reason);
 
@@ -41,33 +45,36 @@
     std::string ticket;
     Timestamp ticketValidUntil = absl::InfiniteFuture();
     /**
-     * Placed by an earlier leader, and no start of it was sent since: once the worker has answered this term's leader, which
-     * fences the earlier ones off it, the run can't begin any more.
+     * Placed by an earlier leader, and not started by this one. Once the worker has answered this term's leader, which fences off earlier leaders,
+     * the run can't start any more.
      */
     bool isAdopted = false;
-    /** When the worker last listed a run of this task as running. */
+    /** When the worker last listed a run of this task, under any run number. */
     Timestamp listedAt = absl::InfinitePast();
-    /** A start got no answer: the worker may carry it out later. */
+    /** A start got no answer, so that the worker may still execute it later. */
     bool mayStartLate = false;
     bool isCallInFlight = false;
-    /** The worker has confirmed that the run is over, or can't begin any more; its end may still be listed. */
+    /** When the worker confirmed that the run has ended or can't start any more; its end may still be listed. */
     Timestamp settledAt = absl::InfiniteFuture();
     Timestamp nextCall = absl::InfinitePast();
     std::uint32_t startCalls = 0;
     Timestamp placedAt;
     Timestamp runningSince = absl::InfiniteFuture();
     std::uint32_t percent = 0;
-    /** When the percentage last rose, and what it was when it was first seen. */
+    /** When the percentage last rose, and its value when it was first seen. */
     Timestamp progressAt = absl::InfinitePast();
     std::uint32_t firstPercent = 0;
     Timestamp firstPercentAt = absl::InfiniteFuture();
     std::uint32_t load = 0;
-    /** The pace that its worker has confirmed; nothing where an earlier leader, or an order without an answer, may have left another. */
+    /**
+     * The speed limit that the worker has confirmed, in per cent. Empty where an earlier leader, or an order without an answer, may have set another
+     * one.
+     */
     std::optional<std::uint32_t> pace = 100;
     bool isPaceInFlight = false;
     std::string checkpoint;
 
-    /** It has run for settledAfter at @p then. */
+    /** True if the run had been running for settlingTime at @p then. */
     bool isSettledAt(Timestamp then) const
     {
         return this->runningSince < absl::InfiniteFuture() && then - this->runningSince >= settlingTime;
--- a/paddlepier/execution/stepreport.cpp
+++ b/paddlepier/execution/stepreport.cpp
@@ -1,4 +1,4 @@
-// One line of the log for each step that is done.
+// Logs one line for each step that is done.
 
 #include "paddlepier/execution/stepreport.h"
 
--- a/paddlepier/execution/stepreport.h
+++ b/paddlepier/execution/stepreport.h
@@ -1,14 +1,14 @@
-// One line of the log for each step that is done, in place of one for each of its runs.
+// Logs one line for each step that is done, instead of one for each of its runs.
 //
-// A large cell ends more runs a second than a bounded log may hold lines. What somebody asks who looks for the cause of a
-// late job is which task of a step was the last, where it ran, and what the others took; runs that end in any other way than
-// done still have a line each.
+// A large cell ends more runs a second than the bounded log accepts lines. To find the cause of a late job one needs to know which
+// task of a step ended last, where it ran, and how long the others took. Runs that end in any way other than done are still logged
+// one by one.
 //
 // Example:
-//     reports.noteDone(key, {worker, startTime, runTime});
-//     reports.writeEnded(state);
+//     reports.recordDone(key, {worker, startTime, runTime});
+//     reports.logEnded(state);
 //
-// Thread safety: none; owned by the dispatcher. Cost: noteDone() is O(log steps), writeEnded() O(steps with ends that wait).
+// Thread safety: none; owned by the dispatcher. Cost: recordDone() is O(log steps), logEnded() O(steps with recorded ends).
 
 #ifndef PADDLEPIER_EXECUTION_STEPREPORT_H
 #define PADDLEPIER_EXECUTION_STEPREPORT_H
@@ -24,13 +24,13 @@
 namespace paddlepier::execution
 {
 
-/** A run that ended as done, as the leader saw it; negative times where it was placed by an earlier leader. */
+/** A run that ended as done, as seen by the leader. Times are negative where an earlier leader placed the run. */
 struct DoneRun {
     workload::Incarnation worker;
     std::uint32_t run = 0;
-    /** From its placement until its worker had begun it. */
+    /** From its placement until the worker started it. */
     Duration startTime;
-    /** From its placement until its end was heard of. */
+    /** From its placement until the leader learned of its end. */
     Duration totalTime;
 };
 
@@ -38,7 +38,7 @@
 {
 public:
     void recordDone(const workload::TaskKey &task, const DoneRun &run);
-    /** Writes a line for each step that the ledger has as done, and drops those of jobs that have ended otherwise. */
+    /** Logs a line for each step that is done in the ledger, and removes the steps of jobs that have ended otherwise. */
     void logEnded(const workload::Workload &state);
 
 private:
--- a/paddlepier/execution/taskbackoff.cpp
+++ b/paddlepier/execution/taskbackoff.cpp
@@ -1,4 +1,4 @@
-// Tasks whose starts come to nothing without anybody being to blame for certain.
+// Backoff for tasks whose starts are refused, and counts of their failed runs.
 
 #include "paddlepier/execution/taskbackoff.h"
 
@@ -10,19 +10,19 @@
 namespace
 {
 
-/** Pause after the first refusal, doubled with each further one: a few plans, and a caller's patience at most. */
-constexpr Duration shortestPause = absl::Milliseconds(200);
-constexpr std::uint32_t mostDoublings = 6;
+/** Backoff after the first refusal, doubled with each further one: from the time of a few plans up to the time for which a caller typically waits. */
+constexpr Duration minBackoff = absl::Milliseconds(200);
+constexpr std::uint32_t maxDoublings = 6;
 
-/** Bad runs of one task for which their workers are blamed: that it meets two workers in trouble is usual. */
-constexpr std::uint32_t blamedRuns = 2;
+/** Number of failed runs of one task for which their workers are blamed. A task often meets two faulty workers. */
+constexpr std::uint32_t maxBlamedRuns = 2;
 
 } // namespace
 
 void TaskBackoff::recordRefusal(Timestamp now, const workload::TaskKey &task)
 {
     Entry &setback = this->byTask[task];
-    setback.backoffUntil = now + shortestPause * (1U << std::min(setback.refusals, mostDoublings));
+    setback.backoffUntil = now + minBackoff * (1U << std::min(setback.refusals, maxDoublings));
     ++setback.refusals;
     this->latestBackoffEnd = std::max(this->latestBackoffEnd, setback.backoffUntil);
 }
@@ -34,7 +34,7 @@
 
 bool TaskBackoff::recordFailedRun(const workload::TaskKey &task)
 {
-    return ++this->byTask[task].failedRuns <= blamedRuns;
+    return ++this->byTask[task].failedRuns <= maxBlamedRuns;
 }
 
 bool TaskBackoff::isBackingOff(Timestamp now, const workload::TaskKey &task) const
--- a/paddlepier/execution/taskbackoff.h
+++ b/paddlepier/execution/taskbackoff.h
@@ -1,14 +1,15 @@
-// Tasks whose starts come to nothing without anybody being to blame for certain.
+// Backoff for tasks whose starts are refused, and counts of their failed runs.
 //
-// A start that its worker refuses as invalid will hardly be valid elsewhere: without a pause it would be placed again with every
-// plan, for ever. A run that stands still or fails is most often its worker's fault; a task to which that has happened on several is
-// more likely to be at fault itself, and further workers aren't blamed for it: a lasting one would put all of them under suspicion.
+// A start that a worker refuses as invalid will probably be refused by other workers too. Without a backoff the task would be placed
+// again with every plan, indefinitely. A run that stalls or fails usually does so because of its worker. If that happens to a task
+// on several workers, the task itself is the more likely cause, and further workers aren't blamed: a single lasting task would
+// otherwise put all of them under suspicion.
 //
 // Example:
-//     setbacks.noteRefusal(now, task);
-//     if (setbacks.isPaused(now, task)) { ... }
+//     backoff.recordRefusal(now, task);
+//     if (backoff.isBackingOff(now, task)) { ... }
 //
-// Thread safety: none; owned by the dispatcher, for one term. Cost: O(log n) of the tasks with setbacks.
+// Thread safety: none; owned by the dispatcher, for one term. Cost: O(log n) of the tasks with refusals or failed runs.
 
 #ifndef PADDLEPIER_EXECUTION_TASKBACKOFF_H
 #define PADDLEPIER_EXECUTION_TASKBACKOFF_H
@@ -27,18 +28,18 @@
 public:
     /** A worker has refused a start of the task as invalid. */
     void recordRefusal(Timestamp now, const workload::TaskKey &task);
-    /** A run of the task has failed, or was stopped since it stood still. @return whether its worker may be to blame */
+    /** A run of the task has failed, or was stopped since it stalled. @return whether its worker may be the cause */
     bool recordFailedRun(const workload::TaskKey &task);
-    /** Some task may pause: spares plans the look-up of each waiting task. */
+    /** True if any task may be backing off. Lets plans skip the look-up for each waiting task. */
     bool hasBackoffs(Timestamp now) const;
-    /** The task isn't to be started yet. */
+    /** True if the task must not be started yet. */
     bool isBackingOff(Timestamp now, const workload::TaskKey &task) const;
 
-    /** Drops what is known of jobs that @p isOver says to have ended. */
+    /** Removes the state of jobs for which @p hasJobEnded returns true. */
     template<typename Predicate>
-    void removeEndedJobs(Predicate isOver)
+    void removeEndedJobs(Predicate hasJobEnded)
     {
-        std::erase_if(this->byTask, [&isOver](const auto &entry) { return isOver(entry.first.job); });
+        std::erase_if(this->byTask, [&hasJobEnded](const auto &entry) { return hasJobEnded(entry.first.job); });
     }
 
 private:
@@ -49,7 +50,7 @@
     };
 
     std::map<workload::TaskKey, Entry> byTask;
-    /** No task pauses for longer. */
+    /** No backoff ends later than this. */
     Timestamp latestBackoffEnd = absl::InfinitePast();
 };
 
--- a/paddlepier/execution/taskbackoff_test.cpp
+++ b/paddlepier/execution/taskbackoff_test.cpp
@@ -1,4 +1,4 @@
-// Tasks whose starts come to nothing, on workers that aren't to blame.
+// Tasks that are refused or fail on every worker: they are retried ever more rarely, and their workers stay available to other tasks.
 
 #include "paddlepier/execution/dispatcherfixture.h"
 
@@ -8,7 +8,7 @@
 namespace paddlepier::execution
 {
 
-TEST_CASE_METHOD(DispatcherFixture, "startThatAllWorkersRefuseAsInvalid_isTriedEverMoreSeldom")
+TEST_CASE_METHOD(DispatcherFixture, "startThatAllWorkersRefuseAsInvalid_isRetriedEverMoreRarely")
 {
     for (const char *id : {"w1", "w2", "w3"}) {
         this->addWorker(id);
@@ -30,7 +30,7 @@
     CHECK(this->runUntil([this] { return this->isCompleted("bad"); }, absl::Seconds(15)));
 }
 
-TEST_CASE_METHOD(DispatcherFixture, "taskThatStandsStillEverywhere_leavesItsWorkersTheirWork")
+TEST_CASE_METHOD(DispatcherFixture, "taskThatStallsEverywhere_doesNotBlockItsWorkers")
 {
     for (int number = 0; number < 4; ++number) {
         this->addWorker(absl::StrCat("w", number));
@@ -49,12 +49,12 @@
     for (auto &[id, worker] : this->workers.workers) {
         worker.isStalling = false;
     }
-    // Were all of them under suspicion, one run at a time would go to each.
+    // If all workers were suspected, each would get one run at a time.
     this->addJob("good", 12, 300);
     CHECK(this->runUntil([this] { return this->isCompleted("good"); }, absl::Milliseconds(700)));
 }
 
-TEST_CASE_METHOD(DispatcherFixture, "lastingTaskThatFailsEverywhere_leavesItsWorkersTheirWork")
+TEST_CASE_METHOD(DispatcherFixture, "lastingTaskThatFailsEverywhere_doesNotBlockItsWorkers")
 {
     for (int number = 0; number < 4; ++number) {
         this->addWorker(absl::StrCat("w", number));
--- a/paddlepier/execution/timerqueue.h
+++ b/paddlepier/execution/timerqueue.h
@@ -1,10 +1,10 @@
-// What is to be looked at next, by the time at which it is due.
+// A queue of keys ordered by the time at which each becomes due.
 //
-// A key is in the queue once at most; setting it again moves it. What isn't due costs nothing.
+// A key is in the queue at most once; scheduling it again moves it. Keys that aren't due cost nothing.
 //
 // Example:
-//     queue.set(worker, now + pause);
-//     while (const std::optional<std::string> due = queue.take(now)) { ... }
+//     queue.schedule(worker, now + pause);
+//     while (const std::optional<std::string> due = queue.popExpired(now)) { ... }
 //
 // Thread safety: none; owned by the control thread. Every operation is O(log n).
 
@@ -38,7 +38,7 @@
         this->byTime.emplace(at, key);
     }
 
-    /** Removes the key that has been due longest. @return nothing if none is due by @p now */
+    /** Removes and returns the key that has been due longest. @return nothing if no key is due at @p now */
     std::optional<Key> popExpired(Timestamp now)
     {
         if (this->byTime.empty() || this->byTime.begin()->first > now) {
--- a/paddlepier/execution/timerqueue_test.cpp
+++ b/paddlepier/execution/timerqueue_test.cpp
@@ -1,4 +1,4 @@
-// What is due, in the order of its time.
+// TimerQueue: order of expiry, and rescheduling of keys.
 
 #include "paddlepier/execution/timerqueue.h"
 
@@ -12,7 +12,7 @@
 namespace
 {
 
-class DueQueueFixture
+class TimerQueueFixture
 {
 public:
     const Timestamp begin = absl::UnixEpoch();
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(DueQueueFixture, "take_withSeveralDue_givesTheLongestDueFirstAndOnce")
+TEST_CASE_METHOD(TimerQueueFixture, "popExpired_withSeveralDue_returnsTheLongestDueFirstAndOnce")
 {
     this->queue.schedule("late", this->begin + absl::Seconds(2));
     this->queue.schedule("early", this->begin + absl::Seconds(1));
@@ -32,7 +32,7 @@
     CHECK_FALSE(this->queue.popExpired(now));
 }
 
-TEST_CASE_METHOD(DueQueueFixture, "set_ofAKeyThatIsThere_movesIt")
+TEST_CASE_METHOD(TimerQueueFixture, "schedule_ofAScheduledKey_movesIt")
 {
     this->queue.schedule("a", this->begin);
     this->queue.schedule("a", this->begin + absl::Seconds(2));
--- a/paddlepier/execution/waiting_test.cpp
+++ b/paddlepier/execution/waiting_test.cpp
@@ -1,4 +1,4 @@
-// Tasks that wait for long: which reason is told, and that none waits without one once a worker has room for it.
+// Tasks that wait beyond the reporting threshold: the reason that is reported, and that none waits without one once a worker has free capacity.
 
 #include "paddlepier/execution/dispatcherfixture.h"
 
@@ -25,7 +25,7 @@
         this->runFor(absl::Seconds(1));
     }
 
-    /** The reason that is told for @p job once it has waited for long. */
+    /** The reason that is reported for @p job once it has waited beyond the threshold. */
     std::string reasonOf(const std::string &job)
     {
         this->runUntil([&] { return !this->dispatcher->longWaitReason(job).empty(); }, absl::Seconds(20));
@@ -39,7 +39,7 @@
     }
 };
 
-/** Five workers that start again under their ids, of which each may run most of the jobs, but not all. */
+/** Five workers that restart under their ids; each may run most of the jobs, but not all. */
 class FaultsFixture : public WaitingFixture
 {
 public:
@@ -64,18 +64,18 @@
         this->electLeader();
     }
 
-    /** Jobs of either queue with faults between them; then the faults end. */
-    void playFaults(unsigned int lostAfter, int events)
+    /** Submits jobs to both queues with faults between them, and then ends the faults. */
+    void injectFaults(unsigned int answerLossPercent, int events)
     {
-        this->networkFaults.answerLossPercent = lostAfter;
-        this->adviceDelay = absl::Milliseconds(this->roll(800));
+        this->networkFaults.answerLossPercent = answerLossPercent;
+        this->adviceDelay = absl::Milliseconds(this->randomBelow(800));
         for (int event = 0; event < events; ++event) {
-            this->queueOfJobs = this->roll(2) == 0 ? "quick" : "advised";
-            this->jobs.push_back(absl::StrCat(this->roll(5) == 0 ? "deadly" : "job", event));
-            this->addJob(this->jobs.back(), 1 + this->roll(5), 50 + this->roll(2000), 1 + this->roll(2), false, this->roll(5) == 0);
-            this->runFor(absl::Milliseconds(this->roll(3000)));
-            const std::string id = absl::StrCat("w", this->roll(workerCount));
-            this->playFault(id, this->roll(4));
+            this->queueOfJobs = this->randomBelow(2) == 0 ? "quick" : "advised";
+            this->jobs.push_back(absl::StrCat(this->randomBelow(5) == 0 ? "deadly" : "job", event));
+            this->addJob(this->jobs.back(), 1 + this->randomBelow(5), 50 + this->randomBelow(2000), 1 + this->randomBelow(2), false, this->randomBelow(5) == 0);
+            this->runFor(absl::Milliseconds(this->randomBelow(3000)));
+            const std::string id = absl::StrCat("w", this->randomBelow(workerCount));
+            this->injectFault(id, this->randomBelow(4));
         }
         this->networkFaults = NetworkFaults();
         this->adviceDelay = absl::ZeroDuration();
@@ -87,42 +87,42 @@
         }
     }
 
-    /** All jobs end but gangs that are larger than the workers that may run them, and those are told to lack room. */
-    bool settlesSoon()
+    /** True once all jobs have ended, except gangs that are larger than the workers that may run them, which are reported as lacking capacity. */
+    bool allJobsSettle()
     {
         const auto isSettled = [this](const std::string &job) {
-            return this->fitsWhereItIsPermitted(job) ? this->state.findJob(job)->hasEnded()
+            return this->fitsOnPermittedWorkers(job) ? this->state.findJob(job)->hasEnded()
                                                      : absl::EndsWith(this->dispatcher->longWaitReason(job), ": no-room");
         };
         return this->runUntil([&] { return std::all_of(this->jobs.begin(), this->jobs.end(), isSettled); }, absl::Seconds(60));
     }
 
 private:
-    bool fitsWhereItIsPermitted(const std::string &id) const
+    bool fitsOnPermittedWorkers(const std::string &id) const
     {
         const workload::Job &job = *this->state.findJob(id);
         const work::StepSpecT &step = job.stepSpec(0);
         std::uint32_t free = 0;
         for (const auto &[worker, registration] : this->registrations) {
-            const bool isPermitted = job.queue().advice == nullptr || this->isPermitted({id, 0, 0}, worker);
-            free += isPermitted ? registration.capacity->milliProcessors() : 0;
+            const bool mayRunHere = job.queue().advice == nullptr || this->isPermitted({id, 0, 0}, worker);
+            free += mayRunHere ? registration.capacity->milliProcessors() : 0;
         }
         return !step.isGang || step.count * step.demand->milliProcessors() <= free;
     }
 
-    unsigned int roll(unsigned int sides)
+    unsigned int randomBelow(unsigned int bound)
     {
-        return static_cast<unsigned int>(this->random() % sides);
+        return static_cast<unsigned int>(this->random() % bound);
     }
 
-    void playFault(const std::string &id, unsigned int kind)
+    void injectFault(const std::string &id, unsigned int kind)
     {
         if (kind == 0) {
             this->electLeader();
         } else if (kind == 1) {
             this->workers.crashSilently(this->now, id);
         } else if (kind == 2) {
-            this->setCapacity(id, 1000 + 1000 * this->roll(4));
+            this->setCapacity(id, 1000 + 1000 * this->randomBelow(4));
         } else {
             this->workers.workers[id].isCut = !this->workers.workers[id].isCut;
         }
@@ -133,7 +133,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(WaitingFixture, "taskThatWaitsForLong_onSoundWorkers_isToldWhy")
+TEST_CASE_METHOD(WaitingFixture, "taskThatWaitsBeyondTheThreshold_onHealthyWorkers_reportsItsReason")
 {
     this->begin();
     this->submitWith("large", [](work::StepSpecT &step) { step.demand = std::make_unique<work::Demand>(5000, 100, 0); });
@@ -152,7 +152,7 @@
     CHECK(this->reasonOf("unanswered") == "advice-awaited");
 }
 
-TEST_CASE_METHOD(WaitingFixture, "taskThatWaitsForLong_whileOthersHaveTheRoomOrNobodyAnswers_isToldWhy")
+TEST_CASE_METHOD(WaitingFixture, "taskThatWaitsBeyondTheThreshold_withoutCapacityOrResponsiveWorkers_reportsItsReason")
 {
     this->begin();
     this->addJob("others", 8, 60'000);
@@ -165,7 +165,7 @@
     CHECK(this->reasonOf("silent") == "workers-unusable");
 }
 
-TEST_CASE_METHOD(WaitingFixture, "taskThatWorkersRefuse_isToldToBePaused")
+TEST_CASE_METHOD(WaitingFixture, "taskThatWorkersRefuse_reportsItsBackoff")
 {
     this->begin();
     this->workers.isRefused = [](const workload::TaskKey &key) { return key.job == "refused"; };
@@ -174,7 +174,7 @@
     CHECK(this->reasonOf("refused") == "paused");
 }
 
-TEST_CASE_METHOD(WaitingFixture, "taskThatIsPlacedAtLast_isToldNoReasonAnyMore")
+TEST_CASE_METHOD(WaitingFixture, "taskThatIsFinallyPlaced_reportsNoReasonAnyMore")
 {
     this->begin();
     this->submitWith("label", [](work::StepSpecT &step) { step.requiredLabel = "gpu"; });
@@ -188,21 +188,21 @@
 
 TEST_CASE("tasks_afterAnyFaults_waitNoLongerThanTheirReasonsLast", "[proof][fuzz]")
 {
-    const bool holds = rc::check("once the faults are over, what a live worker permits and has room for is placed", [] {
+    const bool holds = rc::check("after the faults have ended, each task that a live worker permits and has capacity for is placed", [] {
         FaultsFixture fixture(*rc::gen::arbitrary<std::uint32_t>());
-        const auto lostAfter = *rc::gen::inRange(0U, 25U);
-        fixture.playFaults(lostAfter, *rc::gen::inRange(2, 10));
-        RC_ASSERT(fixture.settlesSoon());
+        const auto answerLossPercent = *rc::gen::inRange(0U, 25U);
+        fixture.injectFaults(answerLossPercent, *rc::gen::inRange(2, 10));
+        RC_ASSERT(fixture.allJobsSettle());
         RC_ASSERT(fixture.workers.violations == std::vector<std::string>());
     });
     CHECK(holds);
 }
 
-TEST_CASE("gang_largerThanTheWorkersThatMayRunIt_afterFaults_isToldToLackRoom")
+TEST_CASE("gang_largerThanTheWorkersThatMayRunIt_afterFaults_reportsLackOfCapacity")
 {
     FaultsFixture fixture(1158);
-    fixture.playFaults(9, 3);
-    CHECK(fixture.settlesSoon());
+    fixture.injectFaults(9, 3);
+    CHECK(fixture.allJobsSettle());
     CHECK(fixture.workers.violations.empty());
 }
 
--- a/paddlepier/execution/workerview.cpp
+++ b/paddlepier/execution/workerview.cpp
@@ -1,4 +1,4 @@
-// What a leader knows about one worker's life.
+// Tracks the clock, the leases and the responsiveness of one incarnation of a worker.
 
 #include "paddlepier/execution/workerview.h"
 
@@ -10,43 +10,43 @@
 namespace
 {
 
-/** Added to every wait for a lease to run out, for rounding and the way of the order. */
+/** Added to every wait for a lease to expire, for rounding and the transit time of the order. */
 constexpr Duration leaseMargin = absl::Milliseconds(300);
 
 /**
- * A reading of the clock so far before an earlier one isn't just an answer that was overtaken: every life has a clock of its own, and
- * another one may be there.
+ * A clock reading that is this far behind an earlier one isn't explained by answers that overtook each other. Every incarnation has its own clock, so
+ * that another one may be there.
  */
-constexpr std::int64_t strangeClockMillis = 3000;
+constexpr std::int64_t maxClockStepBackMillis = 3000;
 
-/** Pause after a silent call, times the number in a row. */
-constexpr Duration silencePause = absl::Milliseconds(100);
-constexpr Duration longestSilencePause = absl::Milliseconds(300);
+/** Pause before the next poll after a failed call, times the number of failed calls in a row. */
+constexpr Duration failedCallPause = absl::Milliseconds(100);
+constexpr Duration maxFailedCallPause = absl::Milliseconds(300);
 
 /**
- * A worker that has said when it leaves, and is silent after that, is gone; so is probably one that has neither answered nor announced
- * itself for twice as long as a cut usually lasts (5 s). It is asked seldom: 77 of 1,100 workers that were taken away cost 250 polls a
- * second otherwise, on the instance whose decisions everybody waits for. Its next announcement has it asked at once.
+ * A worker that is unresponsive after the time at which it announced to leave is considered gone, and so is one that has neither answered nor
+ * announced itself for twice as long as a network partition usually lasts (5 s). It is polled rarely: polling 77 of 1,100 workers that were taken
+ * away cost 250 polls a second, on the instance that makes all placement decisions. Its next announcement triggers a poll at once.
  */
-constexpr Duration leftPatience = absl::Seconds(1);
-constexpr Duration gonePatience = absl::Seconds(10);
-constexpr Duration gonePause = absl::Seconds(2);
+constexpr Duration leaveTimeout = absl::Seconds(1);
+constexpr Duration goneTimeout = absl::Seconds(10);
+constexpr Duration gonePollPause = absl::Seconds(2);
 
-/** A worker that fails its runs gets none for this time, doubled with each further failure. */
-constexpr Duration shortestTimeOut = absl::Milliseconds(500);
-constexpr std::uint32_t mostDoublings = 4;
+/** A worker that fails its runs is suspected for this time, doubled with each further failure. */
+constexpr Duration minSuspicionTime = absl::Milliseconds(500);
+constexpr std::uint32_t maxDoublings = 4;
 
-Duration slowed(Duration duration)
+Duration onSlowClock(Duration duration)
 {
     return duration * (1000 + clockSlowPerMille) / 1000;
 }
 
 } // namespace
 
-WorkerView::WorkerView(Timestamp termBegin, Duration longestLease, const Duration *pausesOfProcess)
+WorkerView::WorkerView(Timestamp termBegin, Duration maxLease, const Duration *pausesOfProcess)
     : knownSince(termBegin)
     , announcedAt(termBegin)
-    , earlierLeasesExpireAt(termBegin + slowed(longestLease) + leaseMargin)
+    , earlierLeasesExpireAt(termBegin + onSlowClock(maxLease) + leaseMargin)
     , clockReadAt(termBegin)
     , processPauses(pausesOfProcess)
 {
@@ -55,8 +55,8 @@
 void WorkerView::recordFailedRun(Timestamp now)
 {
     ++this->consecutiveFailures;
-    const std::uint32_t doublings = std::min(this->consecutiveFailures, mostDoublings);
-    this->suspectUntil = now + shortestTimeOut * (1U << doublings);
+    const std::uint32_t doublings = std::min(this->consecutiveFailures, maxDoublings);
+    this->suspectUntil = now + minSuspicionTime * (1U << doublings);
 }
 
 void WorkerView::recordDoneRun()
@@ -68,10 +68,10 @@
 {
     this->answeredAt = now;
     this->consecutiveFailedCalls = 0;
-    if (clock && this->clockMillis && *clock + strangeClockMillis < *this->clockMillis) {
+    if (clock && this->clockMillis && *clock + maxClockStepBackMillis < *this->clockMillis) {
         this->listedAt = absl::InfinitePast();
     }
-    // Answers may overtake each other; the greatest reading relative to its age is the nearest to the truth.
+    // Answers may overtake each other; the greatest reading relative to its age is the most accurate.
     if (clock && (!this->clockMillis || *clock >= *this->clockMillis)) {
         this->clockMillis = clock;
         this->clockReadAt = now;
@@ -83,10 +83,10 @@
     this->listedAt = now;
 }
 
-void WorkerView::recordSuccessor(Timestamp now, Duration longestLease)
+void WorkerView::recordSuccessor(Timestamp now, Duration maxLease)
 {
     this->isFenced = true;
-    this->earlierLeasesExpireAt = std::max(this->earlierLeasesExpireAt, now + slowed(longestLease) + leaseMargin);
+    this->earlierLeasesExpireAt = std::max(this->earlierLeasesExpireAt, now + onSlowClock(maxLease) + leaseMargin);
 }
 
 bool WorkerView::isIncarnationConfirmed(Timestamp now) const
@@ -98,14 +98,14 @@
 {
     this->listedAt = absl::InfinitePast();
     ++this->consecutiveFailedCalls;
-    const Duration pause = std::min(longestSilencePause, silencePause * this->consecutiveFailedCalls);
-    this->nextPoll = now + (this->isLikelyGone(now) ? gonePause : pause);
+    const Duration pause = std::min(maxFailedCallPause, failedCallPause * this->consecutiveFailedCalls);
+    this->nextPoll = now + (this->isLikelyGone(now) ? gonePollPause : pause);
 }
 
 bool WorkerView::isLikelyGone(Timestamp now) const
 {
-    const bool hasLeft = this->leavesAt + leftPatience < now;
-    return hasLeft || std::max({this->knownSince, this->announcedAt, this->answeredAt}) + gonePatience < now;
+    const bool hasLeft = this->leavesAt + leaveTimeout < now;
+    return hasLeft || std::max({this->knownSince, this->announcedAt, this->answeredAt}) + goneTimeout < now;
 }
 
 std::int64_t WorkerView::leaseEnd(Timestamp now, Duration lease) const
@@ -130,7 +130,7 @@
         return true;
     }
     const Duration left = absl::Milliseconds(this->latestLeaseEnd - *this->clockMillis);
-    return now > this->clockReadAt + slowed(left) + leaseMargin;
+    return now > this->clockReadAt + onSlowClock(left) + leaseMargin;
 }
 
 bool WorkerView::isReachable() const
@@ -167,12 +167,12 @@
 Timestamp WorkerView::nextTimedChange(Timestamp now) const
 {
     Timestamp next = absl::InfiniteFuture();
-    const auto take = [now, &next](Timestamp at) { next = at > now ? std::min(next, at) : next; };
-    take(this->startsBlockedUntil);
-    take(this->suspectUntil);
+    const auto consider = [now, &next](Timestamp at) { next = at > now ? std::min(next, at) : next; };
+    consider(this->startsBlockedUntil);
+    consider(this->suspectUntil);
     for (const auto &[call, due] : this->answerDeadlines) {
         // It is overdue after that time, not at it.
-        take(due + this->totalPause() + absl::Nanoseconds(1));
+        consider(due + this->totalPause() + absl::Nanoseconds(1));
     }
     return next;
 }
--- a/paddlepier/execution/workerview.h
+++ b/paddlepier/execution/workerview.h
@@ -1,8 +1,7 @@
-// What a leader knows about one worker's life besides the ledger: its clock, its lease, how it answers.
+// Volatile state that a leader keeps about one incarnation of a worker: its clock, its lease, and how it responds.
 //
-// The view is volatile and begins anew with each term. A worker's clock is known from its answers; it may run up to
-// `clockSlowPerMille` slow. leaseIsOver() is true only when every lease that this leader or an earlier one can have given
-// has run out on that clock.
+// The view is created anew in each term. The worker's clock is derived from its answers; it may run up to `clockSlowPerMille` slow.
+// hasLeaseExpired() returns true only when every lease that this leader or an earlier one can have granted has expired on that clock.
 //
 // Thread safety: none; owned by the dispatcher.
 
@@ -23,16 +22,16 @@
 namespace paddlepier::execution
 {
 
-/** Workers' clocks may run this much slow; stated by the users' platform (2 %), and 1 % for the own clock. */
+/** Workers' clocks may run this much slow: 2 % as stated by the users' platform, and 1 % for the clock of this process. */
 constexpr std::int64_t clockSlowPerMille = 30;
 
-/** A sound worker answers in some 10 ms; one whose answer is this late gets no further work until it answers. */
+/** A healthy worker answers within some 10 ms. A worker whose answer takes longer than this gets no further work until it answers. */
 constexpr Duration minAnswerTimeout = absl::Milliseconds(250);
 
 enum class PollState { Idle, InFlight, RecordingEnds };
 
 /**
- * An answer proves for this long that the same life will hear the next poll: much shorter than a worker takes to start again, to be given a
+ * For this long after an answer, the next poll is certain to reach the same incarnation: much shorter than a worker takes to restart, to be given a
  * task and to end it.
  */
 constexpr Duration incarnationConfirmedFor = absl::Milliseconds(250);
@@ -41,45 +40,48 @@
 {
 public:
     /**
-     * @param longestLease  bound that the worker itself puts on a lease
-     * @param pauses        time that this process has stood still in all, which outlives the view; null for none. Answers are due that
-     *                      much later
+     * @param maxLease        upper bound that the worker itself puts on a lease
+     * @param pausesOfProcess total time for which this process has been paused; outlives the view; null for none. Answers are due
+     *                        that much later
      */
-    WorkerView(Timestamp termBegin, Duration longestLease, const Duration *pauses = nullptr);
+    WorkerView(Timestamp termBegin, Duration maxLease, const Duration *pausesOfProcess = nullptr);
 
-    /** A run has ended by a fault, its own or the worker's. */
+    /** A run has ended with a failure, caused by the task or by the worker. */
     void recordFailedRun(Timestamp now);
     void recordDoneRun();
-    /** A whole answer has come. */
+    /** A complete answer has arrived. */
     void recordAnswer(Timestamp now, std::optional<std::int64_t> clockMillis);
-    /** It has listed its runs, so that it was this life that answered. */
+    /** The worker has listed its runs, which proves that it was this incarnation that answered. */
     void recordListing(Timestamp now);
-    /** A call has ended without a whole answer. */
+    /** A call has ended without a complete answer. */
     void recordFailedCall(Timestamp now);
-    /** A later life under its id is known: no more calls; orders under way, and leases that they give, may reach that one. */
-    void recordSuccessor(Timestamp now, Duration longestLease);
+    /**
+     * A later incarnation under the same id is known. No more calls are sent to this one; orders in flight, and the leases that they grant, may reach
+     * the later one.
+     */
+    void recordSuccessor(Timestamp now, Duration maxLease);
 
     /**
-     * What is sent now will be heard by this life and no later one under its id, so that ends may be acknowledged to it. A later life
-     * would forget ends of its own by those numbers, and nobody would hear of them.
+     * True if what is sent now reaches this incarnation and no later one under its id, so that ends may be acknowledged. A later incarnation would
+     * discard its own ends by those numbers, and they would never be recorded.
      */
     bool isIncarnationConfirmed(Timestamp now) const;
 
-    /** The end that a lease of @p lease from now has on the worker's clock; 0 while that clock isn't known. */
+    /** The end, on the worker's clock, of a lease of length @p lease from now; 0 while that clock isn't known. */
     std::int64_t leaseEnd(Timestamp now, Duration lease) const;
     void recordLease(std::int64_t endOnWorkerClock);
     bool hasLeaseExpired(Timestamp now) const;
 
     bool isReachable() const;
-    /** The newest call to it got no answer. */
+    /** The newest call got no answer. */
     bool isUnresponsive() const;
 
     /** A call was sent whose answer is due by @p due. */
     void recordCall(std::uint64_t call, Timestamp due);
     void recordCallEnd(std::uint64_t call);
-    /** An answer is overdue: the worker may be cut off, long before a call has timed out. */
+    /** True if an answer is overdue, so that the worker may be cut off. Detected long before a call times out. */
     bool isOverdue(Timestamp now) const;
-    /** When the passing of time alone next makes an answer overdue, or a pause in its work end; infinite if it doesn't. O(calls under way). */
+    /** The next time at which an answer becomes overdue, or a block on starts or a suspicion ends; infinite if there is none. O(calls in flight). */
     Timestamp nextTimedChange(Timestamp now) const;
     bool hasClock() const;
     Timestamp lastAnswerAt() const;
@@ -90,34 +92,34 @@
     bool isWatched = false;
     Timestamp nextPoll = absl::InfinitePast();
     Timestamp pollSentAt = absl::InfinitePast();
-    /** It has answered a poll of this term: it keeps the term's fencing token, and what it runs is known. */
+    /** It has answered a poll of this term: it holds the term's fencing token, and its runs are known. */
     bool hasListed = false;
-    /** It has been told that it may forget ends up to this number. */
+    /** The worker has been notified that it may discard ends up to this number. */
     std::uint64_t acknowledgedSequence = 0;
-    /** Fencing token of orders to this life. */
+    /** Fencing token of orders to this incarnation. */
     std::uint64_t fence = 0;
-    /** A higher fencing token was seen there, or a later life is known: no more orders. */
+    /** A higher fencing token was seen there, or a later incarnation is known: no more orders are sent. */
     bool isFenced = false;
-    /** No starts before this time: it has refused work as unhealthy. */
+    /** No starts before this time, since the worker has refused work as unhealthy. */
     Timestamp startsBlockedUntil = absl::InfinitePast();
     /** When the worker may leave; infinite while it isn't draining. */
     Timestamp leavesAt = absl::InfiniteFuture();
-    /** When this leader first knew of the worker. */
+    /** When this leader first learned of the worker. */
     Timestamp knownSince;
     Timestamp announcedAt;
     std::uint64_t announcedSequence = 0;
-    /** Failed ends in a row. */
+    /** Number of failed runs since the last run that was done. */
     std::uint32_t consecutiveFailures = 0;
-    /** No work before this time, if it has failed several times in a row. */
+    /** No work before this time if several runs have failed there in a row. */
     Timestamp suspectUntil = absl::InfinitePast();
-    /** Smoothed ratio of a run's time there to what was expected; 1 is an ordinary worker. */
+    /** Smoothed ratio of the run time on this worker to the expected one; 1 is a typical worker. */
     double slowness = 1.0;
     PaceControl paceControl;
-    /** Serving and filling runs are on it together. */
+    /** Serving and filling runs share the worker. */
     bool isContended = false;
 
 private:
-    /** Silent, and unlikely to answer again. */
+    /** Unresponsive, and unlikely to answer again. */
     bool isLikelyGone(Timestamp now) const;
     Duration totalPause() const;
 
@@ -126,11 +128,11 @@
     std::optional<std::int64_t> clockMillis;
     Timestamp clockReadAt;
     Timestamp answeredAt = absl::InfinitePast();
-    /** When it last listed its runs; infinitely long ago since anything made it doubtful which life is there. */
+    /** When it last listed its runs; infinitely long ago if an event since then has made it uncertain which incarnation is there. */
     Timestamp listedAt = absl::InfinitePast();
     std::uint32_t consecutiveFailedCalls = 0;
     const Duration *processPauses;
-    /** Calls under way and when their answers are due, less the pauses up to the call. */
+    /** Calls in flight and the deadlines of their answers, less the pauses up to the call. */
     std::map<std::uint64_t, Timestamp> answerDeadlines;
 };
 
@@ -143,7 +145,7 @@
     return static_cast<std::size_t>(std::count_if(views.begin(), views.end(), [&predicate](const auto &entry) { return predicate(entry.second); }));
 }
 
-/** True if @p predicate holds for fewer than half of @p views: they can be done without. */
+/** True if @p predicate holds for fewer than half of @p views, so that the cell can work without them. */
 template<typename Predicate>
 bool isMinority(const WorkerViews &views, Predicate predicate)
 {
--- a/paddlepier/execution/workerview_test.cpp
+++ b/paddlepier/execution/workerview_test.cpp
@@ -1,4 +1,4 @@
-// A worker's clock and lease as its leader knows them.
+// WorkerView: leases on a slow clock, suspicion after failures, and unresponsive workers.
 
 #include "paddlepier/execution/workerview.h"
 
@@ -20,18 +20,18 @@
 
 } // namespace
 
-TEST_CASE_METHOD(WorkerViewFixture, "lease_ofEarlierLeaders_isOverOnlyAfterTheLongestOne")
+TEST_CASE_METHOD(WorkerViewFixture, "lease_ofEarlierLeaders_expiresOnlyAfterTheLongestOne")
 {
     CHECK_FALSE(this->view.hasLeaseExpired(this->begin + lease));
     CHECK(this->view.hasLeaseExpired(this->begin + lease + absl::Seconds(1)));
 }
 
-TEST_CASE_METHOD(WorkerViewFixture, "lease_onASlowClock_isOverOnlyWhenThatClockIsPastIt")
+TEST_CASE_METHOD(WorkerViewFixture, "lease_onASlowClock_expiresOnlyWhenThatClockIsPastIt")
 {
     const Timestamp later = this->begin + absl::Seconds(60);
     this->view.recordAnswer(later, 5000);
     this->view.recordLease(this->view.leaseEnd(later, lease));
-    // A clock that is 2 % slow shows the lease's end 200 ms late.
+    // A clock that is 2 % slow reaches the lease's end 200 ms late.
     CHECK_FALSE(this->view.hasLeaseExpired(later + lease + absl::Milliseconds(200)));
     CHECK(this->view.hasLeaseExpired(later + lease + absl::Seconds(1)));
 }
@@ -44,7 +44,7 @@
     CHECK(this->view.leaseEnd(this->begin + absl::Milliseconds(10), lease) >= end);
 }
 
-TEST_CASE_METHOD(WorkerViewFixture, "suspicion_afterFailuresInARow_endsAndDoubles")
+TEST_CASE_METHOD(WorkerViewFixture, "suspicion_afterConsecutiveFailures_doublesAndIsBounded")
 {
     this->view.recordFailedRun(this->begin);
     const Duration first = this->view.suspectUntil - this->begin;
