--- a/paddlepier/instance/actor.h
+++ b/paddlepier/instance/actor.h
@@ -1,4 +1,4 @@
-// Who makes a call, and how a call ends.
+// The authenticated caller of a call, and the result of a call.
 //
 // Thread safety: plain values.
 
@@ -14,7 +14,7 @@
 namespace paddlepier::instance
 {
 
-/** The partner and role that a token stands for. */
+/** The partner and role that a token authenticates. */
 struct Actor {
     std::string partner;
     wire::Role role = wire::Role::None;
@@ -24,28 +24,31 @@
         return this->role == wire::Role::Administrator;
     }
 
-    /** True if this actor may see and change what belongs to @p owner. */
+    /** True if this actor may read and change the objects of partner @p owner. */
     bool mayActFor(const std::string &owner) const
     {
         return this->isAdministrator() || this->partner == owner;
     }
 };
 
-/** True if a token with @p held may make a call that needs @p needed. */
-inline bool permits(wire::Role held, wire::Role needed)
+/**
+ * True if a token of role @p held may make a call that requires role @p required. An administrator may make every call, an
+ * operator also those of a viewer.
+ */
+inline bool permits(wire::Role held, wire::Role required)
 {
-    if (held == wire::Role::Administrator || held == needed || needed == wire::Role::None) {
+    if (held == wire::Role::Administrator || held == required || required == wire::Role::None) {
         return true;
     }
-    return held == wire::Role::Operator && needed == wire::Role::Viewer;
+    return held == wire::Role::Operator && required == wire::Role::Viewer;
 }
 
 struct CallResult {
     ErrorCode error = ErrorCode::None;
     std::string message;
-    /** Instance that leads, if the call came to another one and it is known. */
+    /** With `NotLeader`: the current leader's instance, or empty if the replica doesn't know it. */
     std::string leader;
-    /** Bytes of the reply table. */
+    /** The serialized reply table; empty on failure. */
     std::string body;
 
     static CallResult failure(ErrorCode code, const std::string &message)
--- a/paddlepier/instance/callrouter.cpp
+++ b/paddlepier/instance/callrouter.cpp
@@ -1,4 +1,4 @@
-// Brings a call to the leader of the ledger that it belongs to.
+// Routes calls to the leader of a data centre's ledger.
 
 #include "paddlepier/instance/callrouter.h"
 
@@ -15,10 +15,10 @@
 namespace
 {
 
-/** Wait for an answer before the next replica is asked. */
-constexpr Duration answerPatience = absl::Milliseconds(300);
-/** Pause after `NotLeader`, while an election may be under way. */
-constexpr Duration electionPause = absl::Milliseconds(50);
+/** Time after which an unanswered call is retried, at another replica if no leader is known. */
+constexpr Duration answerTimeout = absl::Milliseconds(300);
+/** Delay before the next attempt after a `NotLeader` that names no leader: an election may be in progress. */
+constexpr Duration electionBackoff = absl::Milliseconds(50);
 
 } // namespace
 
@@ -32,7 +32,7 @@
 
 void CallRouter::addLocal(const std::string &dataCentre, LedgerService &service)
 {
-    this->locals[dataCentre] = &service;
+    this->localServices[dataCentre] = &service;
 }
 
 std::size_t CallRouter::pendingCalls() const
@@ -40,10 +40,10 @@
     return this->pending.size();
 }
 
-void CallRouter::call(Timestamp now, const std::string &dataCentre, rpc::Method method, const Actor &actor, std::string body, Duration patience, CallDone done)
+void CallRouter::call(Timestamp now, const std::string &dataCentre, rpc::Method method, const Actor &actor, std::string body, Duration timeout, CallDone done)
 {
     if (this->settings.findLedger(dataCentre) == nullptr) {
-        done(CallResult::failure(ErrorCode::WrongDataCentre, absl::StrCat("no data centre \"", dataCentre, "\"")));
+        done(CallResult::failure(ErrorCode::WrongDataCentre, absl::StrCat("unknown data centre \"", dataCentre, "\"")));
         return;
     }
     const std::uint64_t id = this->nextId++;
@@ -53,20 +53,20 @@
     pending.actor = actor;
     pending.body = std::move(body);
     pending.done = std::move(done);
-    pending.deadline = now + patience;
+    pending.deadline = now + timeout;
     this->pending.emplace(id, std::move(pending));
     this->attempt(now, id);
 }
 
 std::string CallRouter::chooseTarget(PendingCall &pending)
 {
-    // The own replica hears from its leader all the time; what was learned from an earlier call may be old.
-    const auto local = this->locals.find(pending.dataCentre);
-    if (local != this->locals.end() && !local->second->leaderInstance().empty()) {
+    // The local replica is in constant contact with its leader; a leader reported by an earlier call may be outdated.
+    const auto local = this->localServices.find(pending.dataCentre);
+    if (local != this->localServices.end() && !local->second->leaderInstance().empty()) {
         return local->second->leaderInstance();
     }
-    const auto leader = this->leaders.find(pending.dataCentre);
-    if (leader != this->leaders.end() && !leader->second.empty()) {
+    const auto leader = this->reportedLeaders.find(pending.dataCentre);
+    if (leader != this->reportedLeaders.end() && !leader->second.empty()) {
         return leader->second;
     }
     const std::vector<std::string> &replicas = this->settings.findLedger(pending.dataCentre)->replicas;
@@ -77,9 +77,9 @@
 {
     PendingCall &pending = this->pending.at(id);
     pending.target = this->chooseTarget(pending);
-    pending.nextAttemptAt = now + (pending.method == rpc::Method::Announce ? this->settings.timing.announceInterval + answerPatience : answerPatience);
+    pending.nextAttemptAt = now + (pending.method == rpc::Method::Announce ? this->settings.timing.announceInterval + answerTimeout : answerTimeout);
     if (pending.target == this->settings.id) {
-        const auto local = this->locals.find(pending.dataCentre);
+        const auto local = this->localServices.find(pending.dataCentre);
         const std::string body = pending.body;
         const std::string self = this->settings.id;
         local->second->execute(
@@ -115,11 +115,11 @@
         this->send(fromInstance, std::move(frame));
     };
     const rpc::CallInfo *call = rpc::CallCatalog::instance().findName(request.method);
-    const auto local = this->locals.find(group);
+    const auto local = this->localServices.find(group);
     if (call == nullptr) {
-        answer(CallResult::failure(ErrorCode::UnknownRoute, absl::StrCat("no call ", request.method)));
-    } else if (local == this->locals.end()) {
-        answer(CallResult::failure(ErrorCode::NotLeader, absl::StrCat("no replica of ", group, " here")));
+        answer(CallResult::failure(ErrorCode::UnknownRoute, absl::StrCat("unknown call ", request.method)));
+    } else if (local == this->localServices.end()) {
+        answer(CallResult::failure(ErrorCode::NotLeader, absl::StrCat("no replica of the ledger of ", group, " on this instance")));
     } else {
         local->second->execute(now, call->method, {request.partner, request.role}, wire::toString(request.body), answer);
     }
@@ -143,12 +143,12 @@
     }
     PendingCall &pending = found->second;
     if (result.error != ErrorCode::NotLeader) {
-        this->leaders[pending.dataCentre] = fromInstance;
+        this->reportedLeaders[pending.dataCentre] = fromInstance;
         this->complete(id, result);
         return;
     }
-    this->leaders[pending.dataCentre] = result.leader == fromInstance ? "" : result.leader;
-    pending.nextAttemptAt = now + (result.leader.empty() ? electionPause : absl::ZeroDuration());
+    this->reportedLeaders[pending.dataCentre] = result.leader == fromInstance ? "" : result.leader;
+    pending.nextAttemptAt = now + (result.leader.empty() ? electionBackoff : absl::ZeroDuration());
 }
 
 void CallRouter::complete(std::uint64_t id, const CallResult &result)
@@ -161,8 +161,8 @@
 
 bool CallRouter::hasNewLeader(const PendingCall &pending) const
 {
-    const auto local = this->locals.find(pending.dataCentre);
-    if (local == this->locals.end()) {
+    const auto local = this->localServices.find(pending.dataCentre);
+    if (local == this->localServices.end()) {
         return false;
     }
     const std::string leader = local->second->leaderInstance();
@@ -172,30 +172,31 @@
 void CallRouter::tick(Timestamp now)
 {
     std::vector<std::uint64_t> due;
-    std::vector<std::uint64_t> over;
+    std::vector<std::uint64_t> expired;
     for (const auto &[id, pending] : this->pending) {
         if (now >= pending.deadline) {
-            over.push_back(id);
+            expired.push_back(id);
         } else if (now >= pending.nextAttemptAt || this->hasNewLeader(pending)) {
             due.push_back(id);
         }
     }
-    for (const std::uint64_t id : over) {
+    for (const std::uint64_t id : expired) {
         const std::string dataCentre = this->pending.at(id).dataCentre;
-        this->leaders.erase(dataCentre);
+        this->reportedLeaders.erase(dataCentre);
         this->complete(id,
-                       CallResult::failure(ErrorCode::DataCentreUnreachable,
-                                           absl::StrCat("no answer from the ledger of ", dataCentre, "; the call may still take effect")));
+                       CallResult::failure(
+                           ErrorCode::DataCentreUnreachable,
+                           absl::StrCat("the leader of the ledger of ", dataCentre, " did not answer before the deadline; the call may still take effect")));
     }
     for (const std::uint64_t id : due) {
         const auto found = this->pending.find(id);
         if (found == this->pending.end()) {
             continue;
         }
-        // No answer: whoever was asked may be gone.
-        const auto leader = this->leaders.find(found->second.dataCentre);
-        if (leader != this->leaders.end() && leader->second == found->second.target) {
-            this->leaders.erase(leader);
+        // The target may have failed: don't prefer it for the next attempt.
+        const auto leader = this->reportedLeaders.find(found->second.dataCentre);
+        if (leader != this->reportedLeaders.end() && leader->second == found->second.target) {
+            this->reportedLeaders.erase(leader);
         }
         this->attempt(now, id);
     }
--- a/paddlepier/instance/callrouter.h
+++ b/paddlepier/instance/callrouter.h
@@ -1,9 +1,9 @@
-// Brings a call to the leader of the ledger that it belongs to.
+// Routes calls to the leader of a data centre's ledger.
 //
-// A call is made here if this instance leads that ledger, and otherwise sent to the instance that is thought to lead;
-// one that answers `NotLeader` may name a better one. A call that gets no answer goes to the next replica. Every call
-// ends by its deadline, with `DataCentreUnreachable` if no leader has answered; it may then still take effect. All calls are idempotent, by a sequence, a
-// submission id or a request id, so that sending one again changes nothing.
+// A call is executed locally if this instance leads the ledger, and otherwise sent to the presumed leader. A replica that
+// answers `NotLeader` may name the current leader, which is tried next; if a replica doesn't answer in time, the call goes
+// to the next one. Every call completes by its deadline: with `DataCentreUnreachable` if no leader has answered, in which
+// case it may still take effect. Calls are idempotent (by sequence, submission id or request id), so retries are safe.
 //
 // Thread safety: none; owned by the control thread.
 
@@ -35,16 +35,16 @@
 
     CallRouter(const Settings &instanceSettings, Send frameSender, Counters &counters, std::uint64_t firstCallId);
 
-    /** Names the service of a ledger that this instance has a replica of. */
+    /** Registers the service of a ledger of which this instance hosts a replica. */
     void addLocal(const std::string &dataCentre, LedgerService &service);
 
-    /** Starts a call; @p done is called exactly once. */
-    void call(Timestamp now, const std::string &dataCentre, rpc::Method method, const Actor &actor, std::string body, Duration patience, CallDone done);
+    /** Starts a call that expires after @p timeout. @p done is called exactly once, possibly before this returns. */
+    void call(Timestamp now, const std::string &dataCentre, rpc::Method method, const Actor &actor, std::string body, Duration timeout, CallDone done);
 
     void receiveRequest(Timestamp now, const std::string &fromInstance, const std::string &group, const wire::CallRequestT &request);
     void receiveReply(Timestamp now, const std::string &fromInstance, const wire::CallReplyT &reply);
 
-    /** Sends calls again whose answer is late, and ends those past their deadline. */
+    /** Retries calls whose current target hasn't answered in time, and fails those past their deadline. */
     void tick(Timestamp now);
 
     std::size_t pendingCalls() const;
@@ -59,21 +59,24 @@
         Timestamp deadline;
         Timestamp nextAttemptAt;
         std::string target;
+        /** Position in the replica list that is tried next while no leader is known. */
         std::size_t replicaIndex = 0;
     };
 
+    /** Sends the call to the presumed leader, or executes it here. */
     void attempt(Timestamp now, std::uint64_t id);
     void handleResult(Timestamp now, std::uint64_t id, const std::string &fromInstance, const CallResult &result);
     void complete(std::uint64_t id, const CallResult &result);
     std::string chooseTarget(PendingCall &pending);
-    /** The own replica has learned of another leader than the one that was asked. */
+    /** True if the local replica knows a leader other than the call's current target. */
     bool hasNewLeader(const PendingCall &pending) const;
 
     const Settings &settings;
     const Send send;
     Counter &sentCalls;
-    absl::flat_hash_map<std::string, LedgerService *> locals;
-    absl::flat_hash_map<std::string, std::string> leaders;
+    absl::flat_hash_map<std::string, LedgerService *> localServices;
+    /** Last reported leader of each ledger; may be outdated. */
+    absl::flat_hash_map<std::string, std::string> reportedLeaders;
     std::map<std::uint64_t, PendingCall> pending;
     std::uint64_t nextId;
 };
--- a/paddlepier/instance/callrouter_test.cpp
+++ b/paddlepier/instance/callrouter_test.cpp
@@ -1,4 +1,5 @@
-// Call routing: leaders found, asked again, and given up.
+// Call routing: a call must reach the leader through redirects and unresponsive replicas, complete exactly once, and fail at
+// its deadline when no replica answers.
 
 #include "paddlepier/instance/callrouter.h"
 
@@ -70,7 +71,7 @@
         this->router.receiveReply(this->now, from, answer);
     }
 
-    void pass(Duration duration)
+    void advance(Duration duration)
     {
         this->now += duration;
         this->router.tick(this->now);
@@ -86,7 +87,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(CallRouterFixture, "call_leaderAnswers_endsOnceAndIsRemembered")
+TEST_CASE_METHOD(CallRouterFixture, "call_leaderAnswersTwice_completesOnce")
 {
     REQUIRE_CALL(this->peers, send("b", trompeloeil::_));
     this->call();
@@ -96,40 +97,40 @@
     REQUIRE(this->results[0].error == ErrorCode::None);
 }
 
-TEST_CASE_METHOD(CallRouterFixture, "call_notLeaderNamesAnother_goesThere")
+TEST_CASE_METHOD(CallRouterFixture, "call_notLeaderNamesAnother_isSentToNamedLeader")
 {
     trompeloeil::sequence order;
     REQUIRE_CALL(this->peers, send("b", trompeloeil::_)).IN_SEQUENCE(order);
     REQUIRE_CALL(this->peers, send("c", trompeloeil::_)).IN_SEQUENCE(order);
     this->call();
     this->reply("b", ErrorCode::NotLeader, "c");
-    this->pass(absl::Milliseconds(1));
+    this->advance(absl::Milliseconds(1));
     this->reply("c", ErrorCode::None);
     REQUIRE(this->results.size() == 1);
 }
 
-TEST_CASE_METHOD(CallRouterFixture, "call_silentReplica_nextOneIsAsked")
+TEST_CASE_METHOD(CallRouterFixture, "call_unresponsiveReplica_isSentToNextReplica")
 {
     trompeloeil::sequence order;
     REQUIRE_CALL(this->peers, send("b", trompeloeil::_)).IN_SEQUENCE(order);
     REQUIRE_CALL(this->peers, send("c", trompeloeil::_)).IN_SEQUENCE(order);
     this->call();
-    this->pass(absl::Milliseconds(400));
+    this->advance(absl::Milliseconds(400));
 }
 
-TEST_CASE_METHOD(CallRouterFixture, "call_nobodyAnswers_endsUnreachableAtDeadline")
+TEST_CASE_METHOD(CallRouterFixture, "call_noReplicaAnswers_failsUnreachableAtDeadline")
 {
     ALLOW_CALL(this->peers, send(trompeloeil::_, trompeloeil::_));
     this->call();
     for (int step = 0; step < 10; ++step) {
-        this->pass(absl::Milliseconds(250));
+        this->advance(absl::Milliseconds(250));
     }
     REQUIRE(this->results.size() == 1);
     REQUIRE(this->results[0].error == ErrorCode::DataCentreUnreachable);
     REQUIRE(this->router.pendingCalls() == 0);
 }
 
-TEST_CASE_METHOD(CallRouterFixture, "call_unknownDataCentre_isRefusedAtOnce")
+TEST_CASE_METHOD(CallRouterFixture, "call_unknownDataCentre_failsImmediately")
 {
     this->router.call(
         this->now, "nowhere", rpc::Method::Status, {}, "", absl::Seconds(1), [this](const CallResult &result) { this->results.push_back(result); });
--- a/paddlepier/instance/configurationstore.cpp
+++ b/paddlepier/instance/configurationstore.cpp
@@ -1,4 +1,4 @@
-// The configuration that is in force in one entry instance.
+// The deployment configuration that is in force in one entry instance.
 
 #include "paddlepier/instance/configurationstore.h"
 
@@ -16,17 +16,17 @@
 namespace
 {
 
-std::string nameOfVersion(const wire::ConfigurationT &configuration)
+std::string versionName(const wire::ConfigurationT &configuration)
 {
     return absl::StrCat("version ", configuration.version);
 }
 
 } // namespace
 
-ConfigurationStore::ConfigurationStore(const std::string &dataFolder, Changed changed, ConfigurationGuards keeperGuards)
+ConfigurationStore::ConfigurationStore(const std::string &dataFolder, Changed changed, ConfigurationGuards safetyGuards)
     : path(dataFolder.empty() ? "" : dataFolder + "/configuration")
     , onChanged(std::move(changed))
-    , guards(keeperGuards)
+    , guards(safetyGuards)
 {
     if (!this->path.empty()) {
         this->load();
@@ -41,10 +41,10 @@
     }
     const storage::FrameScan scan = storage::scanFrames(storage::readFile(this->path));
     if (scan.frames.size() != 1) {
-        throw CorruptLogError(absl::StrCat(this->path, ": damaged"));
+        throw CorruptLogError(absl::StrCat(this->path, ": stored configuration is damaged: expected exactly one valid frame"));
     }
     this->current = wire::unpack<wire::ConfigurationT>(scan.frames.front());
-    this->onChanged(parseConfiguration(this->current.text, nameOfVersion(this->current)));
+    this->onChanged(parseConfiguration(this->current.text, versionName(this->current)));
 }
 
 void ConfigurationStore::save(const wire::ConfigurationT &configuration) const
@@ -60,7 +60,7 @@
     if (!isNewer && (this->guards.onlyForward || configuration.version == this->current.version)) {
         return false;
     }
-    const DeploymentConfiguration parsed = parseConfiguration(configuration.text, nameOfVersion(configuration));
+    const DeploymentConfiguration parsed = parseConfiguration(configuration.text, versionName(configuration));
     this->save(configuration);
     this->current = configuration;
     this->onChanged(parsed);
--- a/paddlepier/instance/configurationstore.h
+++ b/paddlepier/instance/configurationstore.h
@@ -1,13 +1,13 @@
-// The configuration that is in force in one entry instance.
+// The deployment configuration that is in force in one entry instance.
 //
-// Versions come from the deployment's ledger, and from peers, for an instance that can't reach the ledger's leader but
-// can reach another instance. Only accepted versions travel, and a version goes into force only if it is greater than
-// the one in force, so that no order of messages can take a change back. An instance with a disk keeps the version there
-// and starts with it; a version is written before it goes into force.
+// The instance receives versions from the deployment's ledger, and from peers in case it can't reach the ledger's leader.
+// Only versions accepted by the ledger are distributed. A version takes effect only if it is greater than the current one,
+// so reordered messages can't revert a change. An instance with a disk stores each version before it takes effect, and
+// starts with the stored version.
 //
 // Example:
-//     keeper.offer(configuration);          // from the ledger or a peer
-//     keeper.inForce().version;
+//     store.offer(configuration);           // from the ledger or a peer
+//     store.inForce().version;
 //
 // Thread safety: none; owned by the control thread.
 
@@ -23,8 +23,9 @@
 namespace paddlepier::instance
 {
 
-/** Safety checks that only a test switches off, to show that it notices. */
+/** Safety checks. Only tests disable them, to prove that they detect the resulting fault. */
 struct ConfigurationGuards {
+    /** Rejects versions older than the current one. */
     bool onlyForward = true;
 };
 
@@ -34,13 +35,13 @@
     using Changed = std::function<void(const DeploymentConfiguration &)>;
 
     /**
-     * @param dataFolder where the version in force is kept; empty for an instance without a disk
-     * @param changed called with every version that goes into force, also with the kept one
-     * @throws CorruptLogError if the kept version is damaged
+     * @param dataFolder folder that stores the version in force; empty for an instance without a disk
+     * @param changed called with every version that takes effect, including the stored one at start
+     * @throws CorruptLogError if the stored version is damaged
      */
-    ConfigurationStore(const std::string &dataFolder, Changed changed, ConfigurationGuards keeperGuards = {});
+    ConfigurationStore(const std::string &dataFolder, Changed changed, ConfigurationGuards safetyGuards = {});
 
-    /** Puts @p configuration into force if it is newer. @return true if it was */
+    /** Applies @p configuration if it is newer than the current version. @return true if it was applied */
     bool offer(const wire::ConfigurationT &configuration);
 
     const wire::ConfigurationT &inForce() const;
@@ -52,7 +53,7 @@
     const std::string path;
     const Changed onChanged;
     const ConfigurationGuards guards;
-    // Invariant: its version never decreases.
+    // Invariant: the version never decreases.
     wire::ConfigurationT current;
 };
 
--- a/paddlepier/instance/configurationstore_test.cpp
+++ b/paddlepier/instance/configurationstore_test.cpp
@@ -1,4 +1,5 @@
-// Configuration: versions only go forward, whatever comes, also over restarts.
+// Configuration versions must never decrease. An instance receives versions from the ledger and from peers in any order and
+// may restart in between; applying an older one would revert an operator's change.
 
 #include "paddlepier/instance/configurationstore.h"
 
@@ -19,7 +20,7 @@
 namespace
 {
 
-wire::ConfigurationT versionOf(std::uint64_t version)
+wire::ConfigurationT configurationOfVersion(std::uint64_t version)
 {
     wire::ConfigurationT configuration;
     configuration.version = version;
@@ -28,41 +29,41 @@
     return configuration;
 }
 
-class ConfigurationKeeperFixture
+class ConfigurationStoreFixture
 {
 protected:
-    ~ConfigurationKeeperFixture()
+    ~ConfigurationStoreFixture()
     {
         std::filesystem::remove_all(this->folder);
     }
 
-    /** Old and new versions in any order, with restarts in between. @return true if a version was ever taken back */
-    bool goesBack(std::uint64_t seed, ConfigurationGuards guards)
+    /** Offers older and newer versions in random order, with restarts in between. @return true if the version ever decreased */
+    bool decreasesVersion(std::uint64_t seed, ConfigurationGuards guards)
     {
         std::filesystem::remove_all(this->folder);
         std::mt19937_64 random(seed);
         std::uint64_t newest = 0;
         std::uint64_t inForce = 0;
-        bool wentBack = false;
+        bool hasDecreased = false;
         const auto changed = [&](const DeploymentConfiguration &configuration) {
-            wentBack = wentBack || configuration.queuedRequests < inForce;
+            hasDecreased = hasDecreased || configuration.queuedRequests < inForce;
             inForce = configuration.queuedRequests;
         };
-        auto keeper = std::make_unique<ConfigurationStore>(this->folder, changed, guards);
+        auto store = std::make_unique<ConfigurationStore>(this->folder, changed, guards);
         for (int step = 0; step < 40; ++step) {
             if (random() % 5 == 0) {
-                keeper = std::make_unique<ConfigurationStore>(this->folder, changed, guards);
+                store = std::make_unique<ConfigurationStore>(this->folder, changed, guards);
             }
             newest += random() % 2;
-            keeper->offer(versionOf(1 + random() % (newest + 1)));
+            store->offer(configurationOfVersion(1 + random() % (newest + 1)));
         }
-        return wentBack;
+        return hasDecreased;
     }
 
     const std::string folder = (std::filesystem::temp_directory_path() / absl::StrCat("paddlepier-configuration-", ::getpid())).string();
 };
 
-wire::LedgerEntryT changeOf(std::uint64_t expected, const std::string &text)
+wire::LedgerEntryT changeEntry(std::uint64_t expected, const std::string &text)
 {
     wire::ChangeConfigurationT command;
     command.expectedVersion = expected;
@@ -75,31 +76,31 @@
 
 } // namespace
 
-TEST_CASE_METHOD(ConfigurationKeeperFixture, "keeper_anyOrderAndRestarts_neverGoesBack", "[proof][fuzz]")
+TEST_CASE_METHOD(ConfigurationStoreFixture, "store_anyOrderAndRestarts_versionNeverDecreases", "[proof][fuzz]")
 {
     for (std::uint64_t number = 1; number <= testing::scenarios(20); ++number) {
-        REQUIRE_FALSE(this->goesBack(number + testing::seedBase(), {}));
+        REQUIRE_FALSE(this->decreasesVersion(number + testing::seedBase(), {}));
     }
 }
 
-TEST_CASE_METHOD(ConfigurationKeeperFixture, "keeper_takingAnyVersion_isCaught", "[proof][red]")
+TEST_CASE_METHOD(ConfigurationStoreFixture, "store_withoutVersionCheck_decreaseIsDetected", "[proof][red]")
 {
-    REQUIRE(this->goesBack(1, {false}));
+    REQUIRE(this->decreasesVersion(1, {false}));
 }
 
 TEST_CASE("change_againstOldVersion_isConflict")
 {
     ledger::Ledger ledger;
-    REQUIRE(ledger.apply(changeOf(0, "a")).version == 1);
-    REQUIRE(ledger.apply(changeOf(0, "b")).error == ErrorCode::Conflict);
-    REQUIRE(ledger.apply(changeOf(0, "a")).alreadyKnown);
-    REQUIRE(ledger.apply(changeOf(1, "b")).version == 2);
+    REQUIRE(ledger.apply(changeEntry(0, "a")).version == 1);
+    REQUIRE(ledger.apply(changeEntry(0, "b")).error == ErrorCode::Conflict);
+    REQUIRE(ledger.apply(changeEntry(0, "a")).alreadyKnown);
+    REQUIRE(ledger.apply(changeEntry(1, "b")).version == 2);
     ledger::Ledger restored;
     restored.restore(ledger.snapshot());
     REQUIRE(restored.configuration().version == 2);
 }
 
-TEST_CASE("configuration_mistakes_nameLineAndKey")
+TEST_CASE("parseConfiguration_invalidKeyOrValue_errorNamesLineAndKey")
 {
     REQUIRE_THROWS_WITH(parseConfiguration("[quick]\nretries = 1\n", "c"), "c:2: quick.retries: is not a known key");
     REQUIRE_THROWS_WITH(parseConfiguration("[partners.north]\nquotaPercent = 101\n", "c"), "c:2: partners.north.quotaPercent: must be from 0 to 100, is 101");
--- a/paddlepier/instance/instance.cpp
+++ b/paddlepier/instance/instance.cpp
@@ -1,4 +1,4 @@
-// One entry instance.
+// An entry instance.
 
 #include "paddlepier/instance/instance.h"
 
@@ -21,10 +21,10 @@
 constexpr std::size_t mailboxLimit = 100'000;
 constexpr Duration tickInterval = absl::Milliseconds(50);
 constexpr Duration fetchInterval = absl::Milliseconds(500);
-constexpr Duration fetchPatience = absl::Milliseconds(1500);
-constexpr Duration callPatience = absl::Seconds(4);
-/** The balancer sees the failing health check before connections are refused. */
-constexpr Duration balancerNotice = absl::Milliseconds(300);
+constexpr Duration fetchTimeout = absl::Milliseconds(1500);
+constexpr Duration callTimeout = absl::Seconds(4);
+/** Time for the balancer to see the failing health check before connections are refused. */
+constexpr Duration balancerNoticeTime = absl::Milliseconds(300);
 constexpr Duration stopMargin = absl::Seconds(2);
 
 constexpr const char *jsonType = "application/json";
@@ -68,18 +68,18 @@
         auto shared = std::make_shared<wire::PeerFrameT>(std::move(frame));
         this->mailbox.post([this, shared] { this->receive(std::move(*shared)); });
     });
-    const auto callLedger = [this](const std::string &dataCentre, rpc::Method method, std::string body, Duration patience, const CallDone &done) {
-        // A full mailbox is the same as a ledger that can't be reached in time.
-        const bool isTaken = this->mailbox.post([this, dataCentre, method, body = std::move(body), patience, done] {
-            this->calls->call(controlNow(), dataCentre, method, {this->settings.partner, wire::Role::Administrator}, body, patience, done);
+    const auto callLedger = [this](const std::string &dataCentre, rpc::Method method, std::string body, Duration timeout, const CallDone &done) {
+        // A full mailbox is reported like a ledger that can't be reached in time: by a failed call.
+        const bool isAccepted = this->mailbox.post([this, dataCentre, method, body = std::move(body), timeout, done] {
+            this->calls->call(controlNow(), dataCentre, method, {this->settings.partner, wire::Role::Administrator}, body, timeout, done);
         });
-        if (!isTaken) {
-            done(CallResult::failure(ErrorCode::Overloaded, "too many calls wait"));
+        if (!isAccepted) {
+            done(CallResult::failure(ErrorCode::Overloaded, "too many calls are queued"));
         }
     };
     this->quick = std::make_unique<QuickService>(this->settings, this->counters, callLedger, seed);
     this->configuration = std::make_unique<ConfigurationStore>(this->settings.dataFolder,
-                                                               [this](const DeploymentConfiguration &deployment) { this->configurationChanged(deployment); });
+                                                               [this](const DeploymentConfiguration &deployment) { this->applyConfiguration(deployment); });
     this->server = std::make_unique<http::HttpServer>(
         this->settings.http, this->settings.limits, [this](const std::shared_ptr<http::Exchange> &exchange) { this->handle(exchange); });
     log::info("instance", "started", {{"instance", this->settings.id}, {"http", this->settings.http.text()}, {"peer", this->settings.peer.text()}});
@@ -101,7 +101,7 @@
         if (std::find(group.replicas.begin(), group.replicas.end(), this->settings.id) == group.replicas.end()) {
             continue;
         }
-        Hosted &added = this->hosted[group.dataCentre];
+        HostedLedger &added = this->hosted[group.dataCentre];
         added.node = std::make_unique<LedgerNode>(this->settings, group, *this->disk, sendFrame, this->counters, now, seed + this->hosted.size());
         added.service = std::make_unique<LedgerService>(this->settings, *added.node, this->counters);
         this->calls->addLocal(group.dataCentre, *added.service);
@@ -121,9 +121,9 @@
     this->stopGracefully();
 }
 
-void Instance::step(Duration patience)
+void Instance::step(Duration maxWait)
 {
-    for (const Mailbox::Work &work : this->mailbox.drain(patience)) {
+    for (const Mailbox::Work &work : this->mailbox.drain(maxWait)) {
         work();
     }
     this->suspension.check();
@@ -156,14 +156,14 @@
 {
     log::info("instance", "stopping", {{"instance", this->settings.id}});
     this->isLeaving = true;
-    const Timestamp noticed = controlNow() + balancerNotice;
-    while (controlNow() < noticed) {
+    const Timestamp noticeEnd = controlNow() + balancerNoticeTime;
+    while (controlNow() < noticeEnd) {
         this->step(tickInterval);
     }
     for (auto &[dataCentre, entry] : this->hosted) {
         entry.node->transferLeadership(controlNow());
     }
-    // The server waits for its exchanges on a thread of its own, while this one goes on serving them.
+    // The server waits on a separate thread for its exchanges to complete, while this thread continues to serve them.
     std::atomic<bool> closed{false};
     std::thread closing([this, &closed] {
         this->server->stop(this->settings.limits.requestDeadline + stopMargin);
@@ -207,7 +207,7 @@
     }
 }
 
-void Instance::configurationChanged(const DeploymentConfiguration &deployment)
+void Instance::applyConfiguration(const DeploymentConfiguration &deployment)
 {
     this->counters.counter("configuration_changes_total").add();
     this->quick->setConfiguration(deployment);
@@ -222,13 +222,13 @@
     request.instance = this->settings.id;
     request.knownVersion = this->configuration->inForce().version;
     const Actor self{this->settings.partner, wire::Role::Administrator};
-    this->calls->call(now, std::string(deploymentLedger), rpc::Method::Fetch, self, wire::pack(request), fetchPatience, [this](const CallResult &result) {
+    this->calls->call(now, std::string(deploymentLedger), rpc::Method::Fetch, self, wire::pack(request), fetchTimeout, [this](const CallResult &result) {
         if (result.error != ErrorCode::None) {
             return;
         }
         const auto reply = wire::unpack<wire::FetchReplyT>(result.body);
         if (reply.configuration && this->configuration->offer(*reply.configuration)) {
-            this->nextFetch = absl::InfinitePast(); // Tell the ledger at once what is in force here.
+            this->nextFetch = absl::InfinitePast(); // Report the new version to the ledger immediately.
         }
     });
 }
@@ -236,7 +236,7 @@
 void Instance::gossipConfiguration()
 {
     if (!this->settings.peers.empty() && this->configuration->inForce().version > 0) {
-        this->offerConfiguration(this->settings.peers[this->nextGossip++ % this->settings.peers.size()].id, false);
+        this->offerConfiguration(this->settings.peers[this->nextGossipPeer++ % this->settings.peers.size()].id, false);
     }
 }
 
@@ -258,7 +258,7 @@
     if (offer.version < own) {
         this->offerConfiguration(fromInstance, true);
     } else if (offer.version > own && offer.revision.empty() && offer.text.empty()) {
-        // Telling the smaller version here makes the other side send the whole greater one.
+        // Announcing the older version makes the peer reply with the text of its newer one.
         this->offerConfiguration(fromInstance, false);
     } else if (offer.version > own) {
         wire::ConfigurationT received;
@@ -269,7 +269,7 @@
     }
 }
 
-std::optional<Actor> Instance::actorOf(const http::Request &request) const
+std::optional<Actor> Instance::authenticate(const http::Request &request) const
 {
     const std::string_view header = request.header("Authorization");
     constexpr std::string_view scheme = "Bearer ";
@@ -305,40 +305,40 @@
     }
     const rpc::CallInfo *call = rpc::CallCatalog::instance().findRoute(request.path);
     if (call == nullptr) {
-        answerError(*exchange, ErrorCode::UnknownRoute, absl::StrCat("no route ", request.path));
+        answerError(*exchange, ErrorCode::UnknownRoute, absl::StrCat("unknown route ", request.path));
     } else if (request.method != "POST") {
-        answerError(*exchange, ErrorCode::MethodNotAllowed, "calls are made with POST");
+        answerError(*exchange, ErrorCode::MethodNotAllowed, "calls require the method POST");
     } else {
         this->handleCall(exchange, *call);
     }
 }
 
-std::string Instance::targetOf(rpc::Method method, const std::string &body) const
+std::string Instance::targetDataCentre(rpc::Method method, const std::string &body) const
 {
-    std::string asked;
+    std::string requested;
     switch (method) {
     case rpc::Method::Submit:
-        asked = dataCentreOf<wire::SubmitRequestT>(body);
+        requested = dataCentreOf<wire::SubmitRequestT>(body);
         break;
     case rpc::Method::List:
-        asked = dataCentreOf<wire::ListRequestT>(body);
+        requested = dataCentreOf<wire::ListRequestT>(body);
         break;
     case rpc::Method::Status:
-        asked = dataCentreOf<wire::StatusRequestT>(body);
+        requested = dataCentreOf<wire::StatusRequestT>(body);
         break;
     case rpc::Method::Drain:
-        asked = dataCentreOf<wire::DrainRequestT>(body);
+        requested = dataCentreOf<wire::DrainRequestT>(body);
         break;
     case rpc::Method::Explain:
-        asked = parseJobName(wire::unpack<wire::ExplainRequestT>(body).job).dataCentre;
+        requested = parseJobName(wire::unpack<wire::ExplainRequestT>(body).job).dataCentre;
         break;
     case rpc::Method::Cancel:
-        asked = parseJobName(wire::unpack<wire::CancelRequestT>(body).job).dataCentre;
+        requested = parseJobName(wire::unpack<wire::CancelRequestT>(body).job).dataCentre;
         break;
     case rpc::Method::Change:
     case rpc::Method::ShowStatus:
     case rpc::Method::Fetch:
-        asked = std::string(deploymentLedger);
+        requested = std::string(deploymentLedger);
         break;
     case rpc::Method::Announce:
     case rpc::Method::DealShares:
@@ -346,25 +346,25 @@
     case rpc::Method::Finish:
         break;
     }
-    return asked.empty() ? this->settings.dataCentre : asked;
+    return requested.empty() ? this->settings.dataCentre : requested;
 }
 
 void Instance::handleCall(const std::shared_ptr<http::Exchange> &exchange, const rpc::CallInfo &call)
 {
     const http::Request &request = exchange->request();
-    const std::optional<Actor> actor = this->actorOf(request);
+    const std::optional<Actor> actor = this->authenticate(request);
     if (!actor) {
-        answerError(*exchange, ErrorCode::Unauthenticated, "a known token is needed: Authorization: Bearer TOKEN");
+        answerError(*exchange, ErrorCode::Unauthenticated, "missing or unknown token; expected the header Authorization: Bearer TOKEN");
         return;
     }
     if (!permits(actor->role, call.role)) {
-        answerError(*exchange, ErrorCode::Forbidden, absl::StrCat(call.name, " needs another role than ", wire::EnumNameRole(actor->role)));
+        answerError(*exchange, ErrorCode::Forbidden, absl::StrCat(call.name, " is not permitted for the role ", wire::EnumNameRole(actor->role)));
         return;
     }
     try {
         const bool isBinary = wantsBinary(request);
         const std::string body = isBinary ? request.body : rpc::CallCatalog::instance().requestFromJson(call, request.body);
-        const std::string dataCentre = this->targetOf(call.method, body);
+        const std::string dataCentre = this->targetDataCentre(call.method, body);
         const auto answer = [exchange, &call, isBinary](const CallResult &result) {
             if (result.error != ErrorCode::None) {
                 answerError(*exchange, result.error, result.message);
@@ -373,10 +373,10 @@
             const std::string reply = isBinary ? result.body : rpc::CallCatalog::instance().replyToJson(call, result.body);
             exchange->respond({200, {{"Content-Type", isBinary ? binaryType : jsonType}}, reply});
         };
-        const bool isTaken = this->mailbox.post(
-            [this, dataCentre, &call, actor, body, answer] { this->calls->call(controlNow(), dataCentre, call.method, *actor, body, callPatience, answer); });
-        if (!isTaken) {
-            answerError(*exchange, ErrorCode::Overloaded, "too many calls wait");
+        const bool isAccepted = this->mailbox.post(
+            [this, dataCentre, &call, actor, body, answer] { this->calls->call(controlNow(), dataCentre, call.method, *actor, body, callTimeout, answer); });
+        if (!isAccepted) {
+            answerError(*exchange, ErrorCode::Overloaded, "too many calls are queued");
         }
     } catch (const Error &error) {
         answerError(*exchange, error.code(), error.what());
--- a/paddlepier/instance/instance.h
+++ b/paddlepier/instance/instance.h
@@ -1,13 +1,14 @@
-// One entry instance: everything that `paddlepier serve` runs.
+// An entry instance: the process behind `paddlepier serve`.
 //
-// One thread, the control thread, drives all state machines of the instance: its replicas of ledgers, their leaders' work
-// and the calls under way. HTTP, quick requests, peers and the disk have threads of their own and post to its mailbox.
+// A single control thread drives all state machines of the instance: the ledger replicas, the leader's work on them, and
+// the pending calls. HTTP, quick requests, peer connections and the disk run on their own threads and post to the control
+// thread's mailbox.
 //
 // Example:
 //     Instance instance(loadSettings(path));
-//     instance.run();        // until requestStop(), then a planned stop
+//     instance.run();        // until requestStop(), then stops gracefully
 //
-// Thread safety: requestStop() from any thread and from a signal handler's thread; the rest from the owner.
+// Thread safety: requestStop() may be called from any thread; everything else only from the owner's thread.
 
 #ifndef PADDLEPIER_INSTANCE_INSTANCE_H
 #define PADDLEPIER_INSTANCE_INSTANCE_H
@@ -37,38 +38,42 @@
 class Instance
 {
 public:
-    /** Opens data folders and listens. @throws any Error that makes the instance unable to start */
+    /** Opens the data folders and starts listening. @throws Error if the instance can't start */
     explicit Instance(Settings instanceSettings);
     ~Instance();
 
     Instance(const Instance &) = delete;
     Instance &operator=(const Instance &) = delete;
 
-    /** Serves until requestStop(); then finishes what is in flight, hands leadership over and returns. */
+    /** Serves until requestStop(), then transfers leadership, completes the requests in flight and returns. */
     void run();
 
     void requestStop();
 
 private:
-    /** One ledger of which this instance has a replica. */
-    struct Hosted {
+    /** A ledger of which this instance hosts a replica. */
+    struct HostedLedger {
         std::unique_ptr<LedgerNode> node;
         std::unique_ptr<LedgerService> service;
     };
 
-    /** Sends a frame in this instance's name. */
+    /** Sends a frame with this instance as its source. */
     void sendFrame(const std::string &instance, wire::PeerFrameT frame);
     void openLedgers(std::uint64_t seed);
     void handle(const std::shared_ptr<http::Exchange> &exchange);
     void handleCall(const std::shared_ptr<http::Exchange> &exchange, const rpc::CallInfo &call);
-    std::optional<Actor> actorOf(const http::Request &request) const;
-    std::string targetOf(rpc::Method method, const std::string &body) const;
+    /** The owner of the request's bearer token; nothing if the token is missing or unknown. */
+    std::optional<Actor> authenticate(const http::Request &request) const;
+    /** The data centre whose ledger serves the call; this instance's own one by default. */
+    std::string targetDataCentre(rpc::Method method, const std::string &body) const;
     void receive(wire::PeerFrameT frame);
-    void step(Duration patience);
+    /** Runs the posted work, waiting up to @p maxWait for some, and everything that is due. */
+    void step(Duration maxWait);
     void tickAll(Timestamp now);
     void stopGracefully();
-    void configurationChanged(const DeploymentConfiguration &deployment);
+    void applyConfiguration(const DeploymentConfiguration &deployment);
     void fetchConfiguration(Timestamp now);
+    /** Sends the version in force to one peer, round-robin. */
     void gossipConfiguration();
     void receiveOffer(const std::string &fromInstance, const wire::ConfigurationOfferT &offer);
     void offerConfiguration(const std::string &instance, bool withText);
@@ -78,19 +83,19 @@
     Mailbox mailbox;
     SuspensionReporter suspension;
     std::atomic<bool> stopRequested{false};
-    /** The balancer's health check answers 503 from then on. */
+    /** While true, the balancer's health check is answered with 503. */
     std::atomic<bool> isLeaving{false};
     Timestamp nextTick = absl::InfinitePast();
 
     std::unique_ptr<replication::DiskWriter> disk;
-    std::map<std::string, Hosted> hosted;
+    std::map<std::string, HostedLedger> hosted;
     std::unique_ptr<CallRouter> calls;
     std::unique_ptr<peer::Transport> transport;
     std::unique_ptr<QuickService> quick;
     std::unique_ptr<http::HttpServer> server;
     std::unique_ptr<ConfigurationStore> configuration;
     Timestamp nextFetch = absl::InfinitePast();
-    std::size_t nextGossip = 0;
+    std::size_t nextGossipPeer = 0;
 };
 
 } // namespace paddlepier::instance
--- a/paddlepier/instance/ledgercalls.cpp
+++ b/paddlepier/instance/ledgercalls.cpp
@@ -1,4 +1,4 @@
-// Calls that the leader of a ledger answers. The leader's other work is in ledgerservice.cpp.
+// The calls that a ledger's leader serves. The leader's other work is in ledgerservice.cpp.
 
 #include "paddlepier/instance/ledgerservice.h"
 
@@ -16,12 +16,12 @@
 
 using wire::TaskState;
 
-/** An instance that hasn't asked for the configuration for so long counts as out of reach. */
-constexpr Duration configurationSilence = absl::Seconds(3);
-constexpr std::size_t longestName = 200;
-constexpr std::size_t longestCommand = 16384;
+/** An instance that hasn't fetched the configuration for longer than this is shown as unreachable. */
+constexpr Duration unreachableAfter = absl::Seconds(3);
+constexpr std::size_t maxNameBytes = 200;
+constexpr std::size_t maxCommandBytes = 16384;
 constexpr std::int64_t microsPerSecond = 1'000'000;
-constexpr std::uint64_t mostProcessors = 1'000'000;
+constexpr std::uint64_t maxMilliProcessors = 1'000'000;
 
 std::string reasonText(wire::WaitReason reason)
 {
@@ -29,21 +29,21 @@
     case wire::WaitReason::None:
         return "not waiting";
     case wire::WaitReason::Backoff:
-        return "an attempt failed; the next one starts after a backoff";
+        return "an attempt failed; the next attempt starts after a backoff";
     case wire::WaitReason::NoWorker:
-        return "no reachable worker takes new tasks";
+        return "no reachable worker accepts new tasks";
     case wire::WaitReason::NoCapacity:
         return "no reachable worker has enough free processors, memory and accelerators";
     case wire::WaitReason::OverQuota:
-        return "the partner's tasks would take more than its quota";
+        return "the task would exceed the partner's quota";
     case wire::WaitReason::WaitingForGang:
-        return "there is room for some tasks, but not for all of the gang at once";
+        return "free capacity suffices for some tasks of the gang, but not for all of them at once";
     case wire::WaitReason::WaitingForLease:
-        return "the lease of an earlier attempt has not run out";
+        return "the lease of an earlier attempt has not expired";
     case wire::WaitReason::WaitingForStop:
-        return "a worker has not yet confirmed that a task stopped";
+        return "a worker has not confirmed yet that a task has stopped";
     case wire::WaitReason::LargerThanAnyWorker:
-        return "a task is larger than every known worker";
+        return "a task exceeds the capacity of every registered worker";
     case wire::WaitReason::NoLeader:
         return "the data centre's ledger has no leader";
     }
@@ -59,38 +59,38 @@
 
 void LedgerService::checkSpec(const wire::JobSpecT &spec) const
 {
-    if (spec.name.empty() || spec.name.size() > longestName) {
-        throw InvalidArgumentError(absl::StrCat("spec.name must have 1 to ", longestName, " bytes"));
+    if (spec.name.empty() || spec.name.size() > maxNameBytes) {
+        throw InvalidArgumentError(absl::StrCat("spec.name must have 1 to ", maxNameBytes, " bytes"));
     }
-    if (spec.command.size() > longestCommand) {
-        throw InvalidArgumentError(absl::StrCat("spec.command must have at most ", longestCommand, " bytes"));
+    if (spec.command.size() > maxCommandBytes) {
+        throw InvalidArgumentError(absl::StrCat("spec.command must have at most ", maxCommandBytes, " bytes"));
     }
     if (spec.tasks == 0 || spec.tasks > ledger::maxTasksPerJob) {
         throw InvalidArgumentError(absl::StrCat("spec.tasks must be from 1 to ", ledger::maxTasksPerJob));
     }
-    if (spec.resources.milliProcessors() == 0 || spec.resources.milliProcessors() > mostProcessors) {
-        throw InvalidArgumentError(absl::StrCat("spec.resources.milliProcessors must be from 1 to ", mostProcessors));
+    if (spec.resources.milliProcessors() == 0 || spec.resources.milliProcessors() > maxMilliProcessors) {
+        throw InvalidArgumentError(absl::StrCat("spec.resources.milliProcessors must be from 1 to ", maxMilliProcessors));
     }
     if (spec.maxAttempts == 0) {
         throw InvalidArgumentError("spec.maxAttempts must be at least 1");
     }
     if (spec.kind == wire::JobKind::Service && spec.atMostOnce) {
-        throw InvalidArgumentError("spec.atMostOnce can't be kept for a service, which is started again whenever it ends");
+        throw InvalidArgumentError("spec.atMostOnce is not supported for a service: a service is restarted whenever it ends");
     }
     const auto &workers = this->node.state().workers();
     const bool fits = workers.empty() || std::any_of(workers.begin(), workers.end(), [&spec](const auto &entry) {
                           return ledger::fits(spec.resources, entry.second.registration().capacity);
                       });
     if (!fits) {
-        throw InfeasibleError(absl::StrCat("a task of \"", spec.name, "\" is larger than each of the ", workers.size(), " known workers"));
+        throw InfeasibleError(absl::StrCat("a task of \"", spec.name, "\" exceeds the capacity of each of the ", workers.size(), " registered workers"));
     }
 }
 
 void LedgerService::submit(const Actor &actor, const wire::SubmitRequestT &request, const CallDone &done)
 {
     this->checkSpec(*request.spec);
-    if (request.submissionId.empty() || request.submissionId.size() > longestName) {
-        throw InvalidArgumentError(absl::StrCat("submissionId must have 1 to ", longestName, " bytes"));
+    if (request.submissionId.empty() || request.submissionId.size() > maxNameBytes) {
+        throw InvalidArgumentError(absl::StrCat("submissionId must have 1 to ", maxNameBytes, " bytes"));
     }
     wire::SubmitJobT command;
     command.partner = actor.partner;
@@ -142,9 +142,9 @@
 const ledger::Job &LedgerService::visibleJob(const Actor &actor, const std::string &name) const
 {
     const ledger::Job *job = this->node.state().findJob(parseJobName(name).id);
-    // Another partner's job is not told from a missing one.
+    // A partner must not learn which jobs of other partners exist, so both cases give the same error.
     if (job == nullptr || !actor.mayActFor(job->record().partner)) {
-        throw UnknownJobError(absl::StrCat("no job ", name));
+        throw UnknownJobError(absl::StrCat("unknown job ", name));
     }
     return *job;
 }
@@ -158,7 +158,7 @@
     reply.reasonText = reasonText(reply.reason);
     for (const wire::TaskRecordT &task : job.tasks()) {
         if (task.state == TaskState::Failed && task.losses >= ledger::maxLosses) {
-            reply.reasonText = absl::StrCat("given up: ", task.losses, " workers were lost under task ", task.index);
+            reply.reasonText = absl::StrCat("abandoned: ", task.losses, " workers were lost while running task ", task.index);
         }
         auto detail = std::make_unique<wire::TaskDetailT>();
         detail->index = task.index;
@@ -223,7 +223,7 @@
 {
     const ledger::Worker *worker = this->node.state().findWorker(request.worker);
     if (worker == nullptr) {
-        throw UnknownWorkerError(absl::StrCat("no worker ", request.worker, " in ", this->node.dataCentre()));
+        throw UnknownWorkerError(absl::StrCat("unknown worker ", request.worker, " in ", this->node.dataCentre()));
     }
     if (!actor.mayActFor(worker->registration().partner)) {
         throw ForbiddenError(absl::StrCat(request.worker, " belongs to another partner"));
@@ -242,13 +242,13 @@
 void LedgerService::announce(Timestamp now, const Actor &actor, const wire::AnnounceRequestT &request, const CallDone &done)
 {
     if (request.dataCentre != this->node.dataCentre()) {
-        throw WrongDataCentreError(absl::StrCat("this is ", this->node.dataCentre(), ", not ", request.dataCentre));
+        throw WrongDataCentreError(absl::StrCat("this ledger belongs to ", this->node.dataCentre(), ", the announcement to ", request.dataCentre));
     }
     if (!actor.mayActFor(request.partner)) {
-        throw ForbiddenError(absl::StrCat("the token is not ", request.partner, "'s"));
+        throw ForbiddenError(absl::StrCat("the caller's token is not one of ", request.partner, "'s"));
     }
-    if (request.worker.empty() || request.worker.size() > longestName) {
-        throw InvalidArgumentError(absl::StrCat("worker must have 1 to ", longestName, " bytes"));
+    if (request.worker.empty() || request.worker.size() > maxNameBytes) {
+        throw InvalidArgumentError(absl::StrCat("worker must have 1 to ", maxNameBytes, " bytes"));
     }
     if (!request.address.empty() && !Endpoint::parse(request.address)) {
         throw InvalidArgumentError(absl::StrCat("address \"", request.address, "\" is not a numeric IP address with a port"));
@@ -256,15 +256,15 @@
     Term &current = this->ensureTerm();
     ledger::AnnouncementResult result = current.leases.announce(now, request, this->node.state());
     this->proposeAll(std::move(result.commands));
-    const auto older = current.held.find(request.worker);
-    if (older != current.held.end()) {
-        // The worker has given its earlier announcement up, or it wouldn't send another one.
-        older->second.done(CallResult::failure(ErrorCode::StaleAnnouncement, "a later announcement came"));
-        current.held.erase(older);
+    const auto earlier = current.heldAnnouncements.find(request.worker);
+    if (earlier != current.heldAnnouncements.end()) {
+        // A worker sends another announcement only after it has abandoned the earlier one.
+        earlier->second.done(CallResult::failure(ErrorCode::StaleAnnouncement, "superseded by a later announcement of the same worker"));
+        current.heldAnnouncements.erase(earlier);
     }
-    if (request.waitMillis > 0 && !hasNews(request, result.reply)) {
+    if (request.waitMillis > 0 && !requiresAction(request, result.reply)) {
         const Duration wait = std::min(absl::Milliseconds(request.waitMillis), this->settings.timing.announceInterval);
-        current.held[request.worker] = {request, done, now + wait};
+        current.heldAnnouncements[request.worker] = {request, done, now + wait};
         return;
     }
     succeed(done, result.reply);
@@ -275,11 +275,12 @@
     Term &current = this->ensureTerm();
     std::vector<routing::ServingWorker> serving;
     for (const auto &[name, worker] : this->node.state().workers()) {
-        const wire::RegisterWorkerT &facts = worker.registration();
+        const wire::RegisterWorkerT &registration = worker.registration();
         const std::optional<std::int64_t> clock = current.leases.workerClock(now, name);
-        const bool isUsable = !facts.address.empty() && facts.partner == request.partner && !worker.isDraining() && current.leases.isReachable(now, name);
-        if (isUsable && clock) {
-            serving.push_back({name, facts.address, facts.slots, facts.connections, *clock, !current.inherited.contains(name)});
+        const bool canServe =
+            !registration.address.empty() && registration.partner == request.partner && !worker.isDraining() && current.leases.isReachable(now, name);
+        if (canServe && clock) {
+            serving.push_back({name, registration.address, registration.slots, registration.connections, *clock, !current.inheritedWorkers.contains(name)});
         }
     }
     succeed(done, current.allocator.allocate(now, request, serving));
@@ -298,12 +299,12 @@
         reply.result = applied.begin;
         const wire::RequestRecordT *record = this->node.state().findRequest(request.partner, request.key);
         if (reply.result == wire::BeginResult::InProgress && record != nullptr) {
-            const bool isOver = record->deadlineMicros < wallMicros();
+            const bool hasExpired = record->deadlineMicros < wallMicros();
             if (record->answer) {
                 reply.result = wire::BeginResult::Recorded;
                 reply.answer = std::make_unique<wire::RecordedAnswerT>(*record->answer);
-            } else if (isOver) {
-                // Whoever opened the key never closed it: the request may have been run.
+            } else if (hasExpired) {
+                // The instance that opened the key never closed it, so the request may have been executed.
                 reply.result = wire::BeginResult::Recorded;
                 reply.answer = std::make_unique<wire::RecordedAnswerT>();
                 reply.answer->outcome = wire::RequestOutcome::Unknown;
@@ -340,8 +341,8 @@
 
 void LedgerService::changeConfiguration(const wire::ChangeRequestT &request, const CallDone &done)
 {
-    if (request.revision.empty() || request.revision.size() > longestName) {
-        throw InvalidArgumentError(absl::StrCat("revision must have 1 to ", longestName, " bytes"));
+    if (request.revision.empty() || request.revision.size() > maxNameBytes) {
+        throw InvalidArgumentError(absl::StrCat("revision must have 1 to ", maxNameBytes, " bytes"));
     }
     parseConfiguration(request.text, "configuration");
     wire::ChangeConfigurationT command;
@@ -358,7 +359,7 @@
 
 void LedgerService::fetchConfiguration(Timestamp now, const wire::FetchRequestT &request, const CallDone &done)
 {
-    this->ensureTerm().versions[request.instance] = {request.knownVersion, now};
+    this->ensureTerm().instanceVersions[request.instance] = {request.knownVersion, now};
     wire::FetchReplyT reply;
     if (this->node.state().configuration().version > request.knownVersion) {
         reply.configuration = std::make_unique<wire::ConfigurationT>(this->node.state().configuration());
@@ -368,7 +369,7 @@
 
 void LedgerService::showConfiguration(Timestamp now, const CallDone &done)
 {
-    const auto &versions = this->ensureTerm().versions;
+    const auto &versions = this->ensureTerm().instanceVersions;
     std::vector<std::string> instances{this->settings.id};
     for (const PeerSettings &peer : this->settings.peers) {
         instances.push_back(peer.id);
@@ -383,7 +384,7 @@
             const Duration silence = now - found->second.second;
             entry->version = found->second.first;
             entry->silentMillis = static_cast<std::uint64_t>(absl::ToInt64Milliseconds(silence));
-            entry->isReachable = silence < configurationSilence;
+            entry->isReachable = silence < unreachableAfter;
         }
         reply.instances.push_back(std::move(entry));
     }
--- a/paddlepier/instance/ledgernode.cpp
+++ b/paddlepier/instance/ledgernode.cpp
@@ -1,4 +1,4 @@
-// One replica of one data centre's ledger inside an entry instance.
+// A replica of a data centre's ledger in an entry instance.
 
 #include "paddlepier/instance/ledgernode.h"
 
@@ -62,7 +62,7 @@
 {
     ReplicaNode::tick(at);
     if (!this->replica().isLeader()) {
-        // Only a leader's scheduler asks for these; elsewhere they would pile up.
+        // Only the leader's scheduler consumes these changes; on a follower they would accumulate without bound.
         this->state().drainChangedWorkers();
         this->state().drainChangedJobs();
     }
--- a/paddlepier/instance/ledgernode.h
+++ b/paddlepier/instance/ledgernode.h
@@ -1,4 +1,4 @@
-// One replica of one data centre's ledger inside an entry instance.
+// A replica of a data centre's ledger in an entry instance.
 //
 // Example:
 //     node.propose(std::move(command), [](const ledger::Applied &applied) { ... });
@@ -19,7 +19,7 @@
 namespace paddlepier::instance
 {
 
-/** A data centre's ledger as a replicated state machine. */
+/** Adapts a data centre's ledger to the state machine interface of ReplicaNode. */
 class ReplicatedLedger : public ledger::Ledger
 {
 public:
@@ -35,9 +35,9 @@
 {
 public:
     /**
-     * Opens the replica's folder below the instance's data folder.
+     * Opens the replica's folder inside the instance's data folder.
      *
-     * @throws CorruptLogError, ForeignDataFolderError, StorageFailureError as ReplicaStore
+     * @throws CorruptLogError, ForeignDataFolderError, StorageFailureError under the same conditions as ReplicaStore
      */
     LedgerNode(const Settings &instanceSettings,
                const LedgerSettings &group,
@@ -49,7 +49,7 @@
 
     void tick(Timestamp at);
 
-    /** As proposeBytes(), with the leader's wall clock. */
+    /** Proposes @p command, stamped with the leader's wall clock, which is never before the last applied entry's time. */
     void propose(wire::CommandUnion command, Completed completed);
 
     const std::string &dataCentre() const;
--- a/paddlepier/instance/ledgerreplies.h
+++ b/paddlepier/instance/ledgerreplies.h
@@ -1,4 +1,4 @@
-// Small helpers of LedgerService's two source files: commands, replies and what is news to a worker.
+// Helpers shared by the two source files of LedgerService: building commands and replies.
 //
 // Thread safety: free functions without state.
 
@@ -17,9 +17,9 @@
 template<typename Command>
 wire::CommandUnion toCommand(Command command)
 {
-    wire::CommandUnion united;
-    united.Set(std::move(command));
-    return united;
+    wire::CommandUnion result;
+    result.Set(std::move(command));
+    return result;
 }
 
 template<typename Reply>
@@ -28,8 +28,8 @@
     done(CallResult::success(wire::pack(reply)));
 }
 
-/** True if a worker has something to do on this reply. */
-inline bool hasNews(const wire::AnnounceRequestT &request, const wire::AnnounceReplyT &reply)
+/** True if the worker has to act on this reply; otherwise the reply may be delayed. */
+inline bool requiresAction(const wire::AnnounceRequestT &request, const wire::AnnounceReplyT &reply)
 {
     return !reply.started.empty() || !reply.recorded.empty() || reply.renewed.size() != request.running.size() || !request.finished.empty();
 }
--- a/paddlepier/instance/ledgerservice.cpp
+++ b/paddlepier/instance/ledgerservice.cpp
@@ -18,7 +18,7 @@
 
 using rpc::Method;
 
-constexpr Duration expiryInterval = absl::Milliseconds(100);
+constexpr Duration leaseExpiryInterval = absl::Milliseconds(100);
 
 } // namespace
 
@@ -32,7 +32,7 @@
     const std::size_t dot = name.rfind('.');
     JobName parsed;
     if (dot == std::string::npos || dot == 0 || !absl::SimpleAtoi(name.substr(dot + 1), &parsed.id)) {
-        throw InvalidArgumentError(absl::StrCat("\"", name, "\" is not a job's name, such as atlanta-1.17"));
+        throw InvalidArgumentError(absl::StrCat("\"", name, "\" is not a job name; expected DATA-CENTRE.NUMBER, such as atlanta-1.17"));
     }
     parsed.dataCentre = name.substr(0, dot);
     return parsed;
@@ -45,7 +45,7 @@
 {
     this->scheduler.rebuild(node.state());
     for (const auto &[name, worker] : node.state().workers()) {
-        this->inherited.insert(name);
+        this->inheritedWorkers.insert(name);
     }
 }
 
@@ -83,7 +83,7 @@
 
 CallResult LedgerService::notLeader() const
 {
-    CallResult result = CallResult::failure(ErrorCode::NotLeader, absl::StrCat("this instance doesn't lead the ledger of ", this->node.dataCentre()));
+    CallResult result = CallResult::failure(ErrorCode::NotLeader, absl::StrCat("this instance is not the leader of the ledger of ", this->node.dataCentre()));
     result.leader = this->node.leaderInstance() == this->settings.id ? "" : this->node.leaderInstance();
     return result;
 }
@@ -95,13 +95,13 @@
         return;
     }
     try {
-        this->run(now, method, actor, body, done);
+        this->dispatch(now, method, actor, body, done);
     } catch (const Error &error) {
         done(CallResult::failure(error.code(), error.what()));
     }
 }
 
-void LedgerService::run(Timestamp now, Method method, const Actor &actor, const std::string &body, const CallDone &done)
+void LedgerService::dispatch(Timestamp now, Method method, const Actor &actor, const std::string &body, const CallDone &done)
 {
     switch (method) {
     case Method::Submit:
@@ -146,28 +146,28 @@
     }
 }
 
-void LedgerService::answerHeldOf(const std::string &worker)
+void LedgerService::answerHeldIfActionable(const std::string &worker)
 {
     Term &current = *this->term;
-    const auto found = current.held.find(worker);
-    if (found == current.held.end()) {
+    const auto found = current.heldAnnouncements.find(worker);
+    if (found == current.heldAnnouncements.end()) {
         return;
     }
     const std::optional<wire::AnnounceReplyT> reply = current.leases.replyNow(found->second.request, this->node.state());
-    if (reply && hasNews(found->second.request, *reply)) {
+    if (reply && requiresAction(found->second.request, *reply)) {
         succeed(found->second.done, *reply);
-        current.held.erase(found);
+        current.heldAnnouncements.erase(found);
     }
 }
 
 void LedgerService::answerHeld(Timestamp now, const std::vector<std::string> &changedWorkers)
 {
     for (const std::string &worker : changedWorkers) {
-        this->answerHeldOf(worker);
+        this->answerHeldIfActionable(worker);
     }
-    std::map<std::string, HeldAnnouncement> &held = this->term->held;
+    std::map<std::string, HeldAnnouncement> &held = this->term->heldAnnouncements;
     for (auto entry = held.begin(); entry != held.end();) {
-        if (now < entry->second.until) {
+        if (now < entry->second.expiresAt) {
             ++entry;
             continue;
         }
@@ -175,7 +175,7 @@
         if (reply) {
             succeed(entry->second.done, *reply);
         } else {
-            entry->second.done(CallResult::failure(ErrorCode::StaleAnnouncement, "a later announcement came"));
+            entry->second.done(CallResult::failure(ErrorCode::StaleAnnouncement, "superseded by a later announcement of the same worker"));
         }
         entry = held.erase(entry);
     }
@@ -210,7 +210,7 @@
     }
     Term &current = this->ensureTerm();
     if (now >= current.nextExpiry) {
-        current.nextExpiry = now + expiryInterval;
+        current.nextExpiry = now + leaseExpiryInterval;
         this->proposeAll(current.leases.expire(now, this->node.state()));
         current.scheduler.setReachable(this->node.state(), [&current, now](const std::string &worker) { return current.leases.isReachable(now, worker); });
     }
--- a/paddlepier/instance/ledgerservice.h
+++ b/paddlepier/instance/ledgerservice.h
@@ -1,8 +1,8 @@
-// The leader's work on one ledger: calls, leases, placement, shares.
+// The leader's work on one ledger: calls, leases, placement and shares.
 //
-// Exists beside every LedgerNode; what it keeps besides the ledger is volatile and begins anew with each term in which
-// its node leads. A call that changes something is answered when the change is applied; a call that reads is answered
-// from the leader's state while it holds the leader's lease.
+// Each LedgerNode has one LedgerService, which is active while the node leads. Its state outside the ledger is volatile and
+// is rebuilt in each term. A mutating call is answered once its command has been applied; a read is answered from the
+// leader's state while the leader holds its lease.
 //
 // Thread safety: none; owned by the control thread.
 
@@ -29,27 +29,30 @@
 public:
     LedgerService(const Settings &instanceSettings, LedgerNode &ledgerNode, Counters &counters);
 
-    /** Makes a call that came to this replica; @p done is called exactly once, perhaps before this returns. */
+    /**
+     * Executes a call received by this replica; fails with `NotLeader` on a follower. @p done is called exactly once, possibly
+     * before this returns.
+     */
     void execute(Timestamp now, rpc::Method method, const Actor &actor, const std::string &body, const CallDone &done);
 
-    /** Puts the configuration in force at this instance into force for placement. */
+    /** Applies the partners' quotas of @p deployment to placement. */
     void setConfiguration(const DeploymentConfiguration &deployment);
 
-    /** Instance that leads the ledger, as far as this replica knows; empty while there is none. */
+    /** The leader's instance as known to this replica; empty if no leader is known. */
     std::string leaderInstance() const;
 
-    /** Places tasks, expires leases; does nothing unless the node leads. */
+    /** Expires leases and places tasks; does nothing unless the node leads. */
     void tick(Timestamp now);
 
 private:
-    /** An announcement whose reply waits for something to tell. */
+    /** A long-polling announcement: its reply is delayed until the worker has to act, at most until expiresAt. */
     struct HeldAnnouncement {
         wire::AnnounceRequestT request;
         CallDone done;
-        Timestamp until;
+        Timestamp expiresAt;
     };
 
-    /** What a leader keeps besides the ledger. */
+    /** Volatile state of the leader in one term. */
     struct Term {
         Term(const Settings &settings, LedgerNode &node, std::map<std::string, std::vector<std::string>> entries);
 
@@ -57,18 +60,20 @@
         ledger::LeaseTable leases;
         routing::ShareAllocator allocator;
         scheduling::Scheduler scheduler;
+        /** A placement command has been proposed and not yet applied; prevents placing the same tasks twice. */
         bool isPlacementInFlight = false;
-        /** Workers that an earlier leader may have dealt shares of. */
-        absl::flat_hash_set<std::string> inherited;
+        /** Workers whose shares an earlier leader may have allocated. */
+        absl::flat_hash_set<std::string> inheritedWorkers;
         Timestamp nextExpiry = absl::InfinitePast();
-        std::map<std::string, HeldAnnouncement> held;
-        /** Versions in force by instance, as last heard. */
-        std::map<std::string, std::pair<std::uint64_t, Timestamp>> versions;
+        std::map<std::string, HeldAnnouncement> heldAnnouncements;
+        /** Configuration version in force at each instance, and when the instance last reported it. */
+        std::map<std::string, std::pair<std::uint64_t, Timestamp>> instanceVersions;
     };
 
+    /** The state of the current term; created on its first use in the term. */
     Term &ensureTerm();
     CallResult notLeader() const;
-    void run(Timestamp now, rpc::Method method, const Actor &actor, const std::string &body, const CallDone &done);
+    void dispatch(Timestamp now, rpc::Method method, const Actor &actor, const std::string &body, const CallDone &done);
 
     void submit(const Actor &actor, const wire::SubmitRequestT &request, const CallDone &done);
     void checkSpec(const wire::JobSpecT &spec) const;
@@ -85,13 +90,15 @@
     void fetchConfiguration(Timestamp now, const wire::FetchRequestT &request, const CallDone &done);
     void showConfiguration(Timestamp now, const CallDone &done);
 
+    /** @throws UnknownJobError if there is no such job or it belongs to another partner */
     const ledger::Job &visibleJob(const Actor &actor, const std::string &name) const;
     wire::JobSummaryT summarize(const ledger::Job &job) const;
     std::string jobName(std::uint64_t id) const;
     void place(Timestamp now);
+    /** Answers the held announcements of changed workers that have to act, and those that have expired. */
     void answerHeld(Timestamp now, const std::vector<std::string> &changedWorkers);
-    void answerHeldOf(const std::string &worker);
-    /** Proposes the command of a call; @p done gets its failure, @p succeeded everything else. */
+    void answerHeldIfActionable(const std::string &worker);
+    /** Proposes the command of a call. Calls @p succeeded with the result once applied, or @p done with the failure. */
     void proposeAndReply(wire::CommandUnion command, const CallDone &done, std::function<void(const ledger::Applied &)> succeeded);
     void proposeAll(std::vector<wire::CommandUnion> commands);
 
@@ -103,7 +110,7 @@
     std::unique_ptr<Term> term;
 };
 
-/** `data-centre.number`. */
+/** A job's external name, `data-centre.number`. */
 std::string formatJobName(const std::string &dataCentre, std::uint64_t id);
 
 struct JobName {
@@ -111,7 +118,7 @@
     std::uint64_t id = 0;
 };
 
-/** @throws InvalidArgumentError if @p name is not a job's name */
+/** @throws InvalidArgumentError if @p name doesn't have the form of formatJobName() */
 JobName parseJobName(const std::string &name);
 
 } // namespace paddlepier::instance
--- a/paddlepier/instance/quickheaders.h
+++ b/paddlepier/instance/quickheaders.h
@@ -1,4 +1,4 @@
-// Names of the HTTP headers of quick requests, and of outcomes; docs/PROTOCOL.md states their meaning.
+// Names of the HTTP headers of quick requests and of their outcomes; docs/PROTOCOL.md specifies them.
 //
 // Thread safety: constants and pure functions.
 
@@ -12,27 +12,27 @@
 namespace paddlepier::instance
 {
 
-/** Caller and worker: milliseconds until the answer is of no use any more. */
+/** From the caller, and to the worker: milliseconds until the answer is no longer needed. */
 constexpr const char *deadlineHeader = "Paddlepier-Deadline-Millis";
-/** Caller: `true` if the request may be run more than once. */
+/** From the caller: `true` if the request may be executed more than once. */
 constexpr const char *idempotentHeader = "Paddlepier-Idempotent";
-/** Caller: key of a request that must not be repeated. */
+/** From the caller: key of a request that must be executed at most once. */
 constexpr const char *keyHeader = "Idempotency-Key";
-/** Worker: must be sent back as it came. */
+/** To the worker, which must return it unchanged in its answer. */
 constexpr const char *requestIdHeader = "Paddlepier-Request-Id";
-/** Worker: refuse the request if the own clock is past this, in microseconds. */
+/** To the worker: it must refuse the request once its own clock, in microseconds, has passed this value. */
 constexpr const char *validUntilHeader = "Paddlepier-Valid-Until-Micros";
-/** Worker's answer: the request was not run, for the stated reason. */
+/** From the worker: the request was not executed, for the stated reason. */
 constexpr const char *refusedHeader = "Paddlepier-Refused";
-/** Answer to the caller: how the request ended. */
+/** To the caller: the outcome of the request. */
 constexpr const char *outcomeHeader = "Paddlepier-Outcome";
-/** Answer to the caller: when to come back. */
+/** To the caller: milliseconds to wait before retrying. */
 constexpr const char *retryAfterMillisHeader = "Paddlepier-Retry-After-Millis";
-/** Between entry instances: the request was passed on once. */
+/** Between entry instances: the request has been forwarded once and must not be forwarded again. */
 constexpr const char *hopHeader = "Paddlepier-Hop";
 constexpr const char *cellKeyHeader = "Paddlepier-Cell-Key";
 
-/** Name of an outcome as it stands in the outcome header. */
+/** Value of the outcome header. */
 inline const char *outcomeName(wire::RequestOutcome outcome)
 {
     static constexpr std::array<const char *, 5> names{"completed", "failed", "not-run", "unknown", "in-progress"};
--- a/paddlepier/instance/quickservice.cpp
+++ b/paddlepier/instance/quickservice.cpp
@@ -1,4 +1,4 @@
-// Quick requests of one entry instance.
+// Serves the quick requests of an entry instance.
 
 #include "paddlepier/instance/quickservice.h"
 
@@ -23,33 +23,33 @@
 using wire::RequestOutcome;
 
 constexpr Duration busyPollTime = absl::Milliseconds(20);
-constexpr Duration quietPollTime = absl::Milliseconds(100);
+constexpr Duration idlePollTime = absl::Milliseconds(100);
 constexpr Duration busySharesInterval = absl::Milliseconds(200);
-constexpr Duration failedSharesPause = absl::Milliseconds(100);
-constexpr Duration quietSharesInterval = absl::Milliseconds(500);
-/** A request for shares without an answer for so long is given up; its late answer is ignored. */
-constexpr Duration sharesPatience = absl::Milliseconds(900);
-/** Recording an answer may outlast the caller's deadline by this. */
-constexpr Duration closePatience = absl::Seconds(2);
-/** An instance whose ledger has no leader serves by hops, hence isn't kept from the balancer for longer. */
-constexpr Duration longestStart = absl::Seconds(5);
+constexpr Duration failedSharesBackoff = absl::Milliseconds(100);
+constexpr Duration idleSharesInterval = absl::Milliseconds(500);
+/** A request for shares that isn't answered within this time is abandoned; a later answer to it is ignored. */
+constexpr Duration sharesTimeout = absl::Milliseconds(900);
+/** Time limit for recording an answer, which may exceed the caller's deadline. */
+constexpr Duration closeKeyTimeout = absl::Seconds(2);
+/** After this time the instance reports ready without shares: while its ledger has no leader, it can still serve by hops. */
+constexpr Duration maxStartupTime = absl::Seconds(5);
 constexpr std::size_t mailboxLimit = 100'000;
-constexpr std::size_t longestKey = 200;
-constexpr int firstFailureStatus = 500;
+constexpr std::size_t maxKeyBytes = 200;
+constexpr int minFailureStatus = 500;
 
 Counter &outcomeCounter(Counters &counters, RequestOutcome outcome)
 {
     return counters.counter(absl::StrCat("quick_answers_total{outcome=\"", outcomeName(outcome), "\"}"));
 }
 
-http::Response errorAnswer(int status, ErrorCode code, const std::string &message)
+http::Response errorResponse(int status, ErrorCode code, const std::string &message)
 {
     return {status, {{"Content-Type", "application/json"}}, rpc::errorJson(code, message)};
 }
 
-http::Response notRunAnswer(const std::string &reason, Duration retryAfter)
+http::Response notRunResponse(const std::string &reason, Duration retryAfter)
 {
-    http::Response answer = errorAnswer(503, ErrorCode::Overloaded, absl::StrCat("not run: ", reason));
+    http::Response answer = errorResponse(503, ErrorCode::Overloaded, absl::StrCat("not run: ", reason));
     const double seconds = absl::ToDoubleSeconds(retryAfter);
     answer.headers.emplace_back("Retry-After", absl::StrCat(static_cast<std::int64_t>(std::ceil(seconds))));
     answer.headers.emplace_back(retryAfterMillisHeader, absl::StrCat(absl::ToInt64Milliseconds(retryAfter)));
@@ -72,8 +72,8 @@
     return XXH3_64bits_withSeed(request.body.data(), request.body.size(), target);
 }
 
-/** What a worker's answer, or the lack of one, says of an attempt. */
-AttemptEnd judgeWorker(const http::TransferResult &result)
+/** Classifies an attempt by the worker's response, or by the lack of one. */
+AttemptEnd classifyWorkerResult(const http::TransferResult &result)
 {
     if (!result.isComplete) {
         return result.nothingSent ? AttemptEnd::NotSent : AttemptEnd::Broken;
@@ -81,11 +81,11 @@
     if (!result.response.header(refusedHeader).empty()) {
         return AttemptEnd::Refused;
     }
-    return result.response.status >= firstFailureStatus ? AttemptEnd::Failed : AttemptEnd::Answered;
+    return result.response.status >= minFailureStatus ? AttemptEnd::Failed : AttemptEnd::Answered;
 }
 
-/** The same for another data centre's entry, which states the outcome itself. */
-AttemptEnd judgeHop(const http::TransferResult &result)
+/** Classifies an attempt sent to another data centre's entry instance, which states the outcome in a header. */
+AttemptEnd classifyHopResult(const http::TransferResult &result)
 {
     if (!result.isComplete) {
         return result.nothingSent ? AttemptEnd::NotSent : AttemptEnd::Broken;
@@ -106,7 +106,7 @@
     : settings(instanceSettings)
     , callLedger(std::move(ledgerCall))
     , counters(processCounters)
-    , addedTime(processCounters.histogram("quick_request"))
+    , requestTime(processCounters.histogram("quick_request"))
     , mailbox(mailboxLimit)
     , router(routerLimits(instanceSettings), seed)
     , incarnation(seed)
@@ -124,7 +124,7 @@
             this->keyDataCentres.push_back(peer.dataCentre);
         }
     }
-    // Every entry of the partner must find the same home for a key.
+    // Every entry instance of the partner must map a key to the same data centre, so the order must be the same.
     std::sort(this->keyDataCentres.begin(), this->keyDataCentres.end());
     this->router.setHopTargets(hops);
     this->thread = std::thread([this] { this->run(); });
@@ -137,7 +137,7 @@
 
 bool QuickService::isReady() const
 {
-    return this->hasRequestedShares || controlNow() - this->startedAt > longestStart;
+    return this->hasRequestedShares || controlNow() - this->startedAt > maxStartupTime;
 }
 
 void QuickService::post(Mailbox::Work work)
@@ -148,9 +148,9 @@
 
 void QuickService::submit(const std::shared_ptr<http::Exchange> &exchange)
 {
-    const bool isTaken = this->mailbox.post([this, exchange] { this->accept(exchange); });
-    if (!isTaken) {
-        http::Response answer = notRunAnswer("too many requests wait", absl::Seconds(1));
+    const bool isAccepted = this->mailbox.post([this, exchange] { this->accept(exchange); });
+    if (!isAccepted) {
+        http::Response answer = notRunResponse("too many requests are queued", absl::Seconds(1));
         answer.headers.emplace_back(outcomeHeader, outcomeName(RequestOutcome::NotRun));
         exchange->respond(std::move(answer));
         return;
@@ -185,7 +185,7 @@
         this->router.tick(now);
         this->renewShares(now);
         this->pump();
-        this->pool.run(this->router.demand() > 0 ? busyPollTime : quietPollTime);
+        this->pool.run(this->router.demand() > 0 ? busyPollTime : idlePollTime);
         this->pump();
     }
     this->mailbox.close();
@@ -195,29 +195,29 @@
 {
     caller.isHop = !request.header(hopHeader).empty();
     if (caller.isHop && request.header(cellKeyHeader) != this->settings.cellKey) {
-        refusal = errorAnswer(403, ErrorCode::Forbidden, absl::StrCat(hopHeader, " is for entry instances only"));
+        refusal = errorResponse(403, ErrorCode::Forbidden, absl::StrCat(hopHeader, " is reserved for entry instances, which send the cell key"));
         return false;
     }
     std::int64_t millis = absl::ToInt64Milliseconds(this->settings.limits.requestDeadline);
     const std::string deadline(request.header(deadlineHeader));
-    std::int64_t asked = 0;
-    if (!deadline.empty() && (!absl::SimpleAtoi(deadline, &asked) || asked <= 0)) {
-        refusal = errorAnswer(400, ErrorCode::InvalidArgument, absl::StrCat(deadlineHeader, " must be a positive number of milliseconds"));
+    std::int64_t requestedMillis = 0;
+    if (!deadline.empty() && (!absl::SimpleAtoi(deadline, &requestedMillis) || requestedMillis <= 0)) {
+        refusal = errorResponse(400, ErrorCode::InvalidArgument, absl::StrCat(deadlineHeader, " must be a positive number of milliseconds"));
         return false;
     }
-    millis = asked > 0 ? std::min(asked, millis) : millis;
+    millis = requestedMillis > 0 ? std::min(requestedMillis, millis) : millis;
     caller.deadline = caller.received + absl::Milliseconds(millis);
     caller.key = std::string(request.header(keyHeader));
-    if (caller.key.size() > longestKey) {
-        refusal = errorAnswer(400, ErrorCode::InvalidArgument, absl::StrCat(keyHeader, " is longer than ", longestKey, " bytes"));
+    if (caller.key.size() > maxKeyBytes) {
+        refusal = errorResponse(400, ErrorCode::InvalidArgument, absl::StrCat(keyHeader, " is longer than ", maxKeyBytes, " bytes"));
         return false;
     }
-    const std::string_view declared = request.header(idempotentHeader);
-    if (!declared.empty() && declared != "true" && declared != "false") {
-        refusal = errorAnswer(400, ErrorCode::InvalidArgument, absl::StrCat(idempotentHeader, " must be true or false"));
+    const std::string_view idempotentValue = request.header(idempotentHeader);
+    if (!idempotentValue.empty() && idempotentValue != "true" && idempotentValue != "false") {
+        refusal = errorResponse(400, ErrorCode::InvalidArgument, absl::StrCat(idempotentHeader, " must be true or false"));
         return false;
     }
-    caller.isIdempotent = caller.key.empty() && (declared == "true" || (declared.empty() && request.method == "GET"));
+    caller.isIdempotent = caller.key.empty() && (idempotentValue == "true" || (idempotentValue.empty() && request.method == "GET"));
     return true;
 }
 
@@ -260,17 +260,18 @@
     request.requestId = caller.requestId;
     request.deadlineMillis = static_cast<std::uint64_t>(std::max<std::int64_t>(absl::ToInt64Milliseconds(remaining), 1));
     this->callLedger(this->dataCentreOfKey(caller.key), rpc::Method::Begin, wire::pack(request), remaining, [this, id](const CallResult &result) {
-        this->post([this, id, result] { this->keyOpened(id, result); });
+        this->post([this, id, result] { this->handleKeyOpened(id, result); });
     });
 }
 
-void QuickService::keyOpened(std::uint64_t id, const CallResult &result)
+void QuickService::handleKeyOpened(std::uint64_t id, const CallResult &result)
 {
     Caller &caller = this->callers.at(id);
     if (result.error != ErrorCode::None) {
-        // Nothing was sent, so "not run" is true. If the key was opened all the same, free it for the caller's next try.
+        // Nothing was sent, so the outcome is "not run". The key may have been opened nevertheless: release it for a retry.
         this->closeKey(caller, RequestOutcome::NotRun, nullptr, [] {});
-        this->answerCaller(id, RequestOutcome::NotRun, notRunAnswer(absl::StrCat("the key's ledger: ", result.message), absl::Seconds(1)));
+        this->answerCaller(
+            id, RequestOutcome::NotRun, notRunResponse(absl::StrCat("recording the idempotency key failed: ", result.message), absl::Seconds(1)));
         return;
     }
     const auto reply = wire::unpack<wire::BeginReplyT>(result.body);
@@ -279,16 +280,17 @@
         this->route(id);
         return;
     case wire::BeginResult::InProgress:
-        this->answerCaller(id, RequestOutcome::InProgress, errorAnswer(409, ErrorCode::Conflict, "a request with this key is in progress"));
+        this->answerCaller(id, RequestOutcome::InProgress, errorResponse(409, ErrorCode::Conflict, "a request with this idempotency key is in progress"));
         return;
     case wire::BeginResult::KeyReused:
-        this->answerCaller(id, RequestOutcome::NotRun, errorAnswer(409, ErrorCode::KeyReused, "the key was used for a different request"));
+        this->answerCaller(id, RequestOutcome::NotRun, errorResponse(409, ErrorCode::KeyReused, "the idempotency key was used for a different request"));
         return;
     case wire::BeginResult::Recorded:
         break;
     }
     if (reply.answer->outcome == RequestOutcome::Unknown) {
-        this->answerCaller(id, RequestOutcome::Unknown, errorAnswer(502, ErrorCode::Timeout, "the end of the request with this key is not known"));
+        this->answerCaller(
+            id, RequestOutcome::Unknown, errorResponse(502, ErrorCode::Timeout, "the outcome of the request with this idempotency key is unknown"));
         return;
     }
     http::Response recorded{reply.answer->status, {{"Content-Type", reply.answer->contentType}}, wire::toString(reply.answer->body)};
@@ -340,18 +342,18 @@
         request.headers.emplace_back(requestIdHeader, absl::StrCat(caller.requestId, ".", attempt.id));
         request.headers.emplace_back(validUntilHeader, absl::StrCat(attempt.validUntilWorkerMicros));
     }
-    this->pool.start(std::move(request), [this, attempt](http::TransferResult result) { this->attemptEnded(attempt, std::move(result)); });
+    this->pool.start(std::move(request), [this, attempt](http::TransferResult result) { this->handleAttemptEnd(attempt, std::move(result)); });
 }
 
-void QuickService::attemptEnded(const routing::Attempt &attempt, http::TransferResult result)
+void QuickService::handleAttemptEnd(const routing::Attempt &attempt, http::TransferResult result)
 {
     const auto found = this->callers.find(attempt.request);
     if (found == this->callers.end()) {
         return;
     }
     Caller &caller = found->second;
-    AttemptEnd end = attempt.isHop ? judgeHop(result) : judgeWorker(result);
-    // A late answer to an earlier request on the same connection must not pass for this one's.
+    AttemptEnd end = attempt.isHop ? classifyHopResult(result) : classifyWorkerResult(result);
+    // A late response to an earlier request on the same connection must not be accepted for this request.
     const std::string expected = absl::StrCat(caller.requestId, ".", attempt.id);
     if (!attempt.isHop && result.isComplete && result.response.header(requestIdHeader) != expected) {
         this->counters.counter("quick_foreign_answers_total").add();
@@ -359,7 +361,7 @@
         end = AttemptEnd::Broken;
     }
     if (end == AttemptEnd::Answered || end == AttemptEnd::Failed) {
-        caller.answers[attempt.id] = std::move(result.response);
+        caller.responses[attempt.id] = std::move(result.response);
     }
     this->router.recordAttemptEnd(controlNow(), attempt.id, end);
 }
@@ -369,12 +371,12 @@
     Caller &caller = this->callers.at(finished.request);
     http::Response answer;
     if (finished.attempt != 0) {
-        const http::Response &received = caller.answers.at(finished.attempt);
+        const http::Response &received = caller.responses.at(finished.attempt);
         answer = {received.status, {{"Content-Type", std::string(received.header("Content-Type"))}}, received.body};
     } else if (finished.outcome == RequestOutcome::NotRun) {
-        answer = notRunAnswer(nameOf(finished.reason), finished.retryAfter);
+        answer = notRunResponse(nameOf(finished.reason), finished.retryAfter);
     } else {
-        answer = errorAnswer(502, ErrorCode::Timeout, "the request was sent, but no whole answer came");
+        answer = errorResponse(502, ErrorCode::Timeout, "the request was sent, but no complete answer was received");
     }
     const std::uint64_t id = finished.request;
     const RequestOutcome outcome = finished.outcome;
@@ -382,7 +384,7 @@
         this->answerCaller(id, outcome, std::move(answer));
         return;
     }
-    // The answer is recorded before the caller sees it, so that a duplicate gets the same one.
+    // The answer is recorded before the caller receives it, so that a duplicate request gets the same answer.
     this->closeKey(caller, outcome, &answer, [this, id, outcome, answer] { this->answerCaller(id, outcome, answer); });
 }
 
@@ -399,8 +401,9 @@
         request.answer->contentType = std::string(answer->header("Content-Type"));
         request.answer->body = wire::toBytes(answer->body);
     }
-    this->callLedger(
-        this->dataCentreOfKey(caller.key), rpc::Method::Finish, wire::pack(request), closePatience, [this, closed](const CallResult &) { this->post(closed); });
+    this->callLedger(this->dataCentreOfKey(caller.key), rpc::Method::Finish, wire::pack(request), closeKeyTimeout, [this, closed](const CallResult &) {
+        this->post(closed);
+    });
 }
 
 void QuickService::answerCaller(std::uint64_t id, RequestOutcome outcome, http::Response answer)
@@ -412,14 +415,14 @@
     answer.headers.emplace_back(outcomeHeader, outcomeName(outcome));
     answer.headers.emplace_back(requestIdHeader, found->second.requestId);
     outcomeCounter(this->counters, outcome).add();
-    this->addedTime.record(controlNow() - found->second.received);
+    this->requestTime.record(controlNow() - found->second.received);
     found->second.exchange->respond(std::move(answer));
     this->callers.erase(found);
 }
 
 void QuickService::limitConnections(const wire::SharesReplyT &reply)
 {
-    // The library knows one bound for all hosts, so the smallest share of connections counts.
+    // The HTTP library has one limit for all hosts, so the smallest share of connections applies to each.
     std::uint32_t connections = 0;
     for (const auto &share : reply.shares) {
         connections = connections == 0 ? share->connections : std::min(connections, share->connections);
@@ -431,10 +434,10 @@
 
 void QuickService::renewShares(Timestamp now)
 {
-    if (now < this->nextShares) {
+    if (now < this->nextSharesRequestAt) {
         return;
     }
-    this->nextShares = now + sharesPatience;
+    this->nextSharesRequestAt = now + sharesTimeout;
     wire::SharesRequestT request;
     request.instance = this->settings.id;
     request.partner = this->settings.partner;
@@ -442,30 +445,30 @@
     request.ageMillis = static_cast<std::uint64_t>(absl::ToInt64Milliseconds(now - this->startedAt));
     request.sequence = ++this->shareSequence;
     request.demand = this->router.demand();
-    request.baseSequence = this->shareAnswered;
-    request.isComplete = this->shareAnswered == 0 || this->shareAnswered + 1 != request.sequence;
+    request.baseSequence = this->answeredShareSequence;
+    request.isComplete = this->answeredShareSequence == 0 || this->answeredShareSequence + 1 != request.sequence;
     for (wire::ShareUseT &use : this->router.uses(!request.isComplete)) {
         request.uses.push_back(std::make_unique<wire::ShareUseT>(std::move(use)));
     }
     const std::uint64_t sequence = request.sequence;
-    this->callLedger(this->settings.dataCentre, rpc::Method::DealShares, wire::pack(request), sharesPatience, [this, sequence, now](const CallResult &result) {
+    this->callLedger(this->settings.dataCentre, rpc::Method::DealShares, wire::pack(request), sharesTimeout, [this, sequence, now](const CallResult &result) {
         this->post([this, sequence, now, result] {
-            // Only the answer to the newest request may be taken: the leader counts on it.
+            // Only the answer to the latest request may be accepted: the leader relies on this.
             if (sequence != this->shareSequence) {
                 return;
             }
             if (result.error != ErrorCode::None) {
-                // A new leader doesn't know the base; without one, the shares at hand soon end.
-                this->shareAnswered = result.error == ErrorCode::Conflict ? 0 : this->shareAnswered;
-                this->nextShares = controlNow() + (result.error == ErrorCode::Conflict ? absl::ZeroDuration() : failedSharesPause);
+                // Conflict: a new leader doesn't have the base, so send a complete request at once; the current shares expire soon.
+                this->answeredShareSequence = result.error == ErrorCode::Conflict ? 0 : this->answeredShareSequence;
+                this->nextSharesRequestAt = controlNow() + (result.error == ErrorCode::Conflict ? absl::ZeroDuration() : failedSharesBackoff);
                 return;
             }
             this->hasRequestedShares = true;
             const auto reply = wire::unpack<wire::SharesReplyT>(result.body);
-            this->shareAnswered = sequence;
+            this->answeredShareSequence = sequence;
             this->limitConnections(reply);
             this->router.setShares(controlNow(), now, reply);
-            this->nextShares = now + (this->router.demand() > 0 ? busySharesInterval : quietSharesInterval);
+            this->nextSharesRequestAt = now + (this->router.demand() > 0 ? busySharesInterval : idleSharesInterval);
         });
     });
 }
--- a/paddlepier/instance/quickservice.h
+++ b/paddlepier/instance/quickservice.h
@@ -1,11 +1,11 @@
-// Quick requests of one entry instance: the traffic thread round the QuickRouter.
+// Serves the quick requests of an entry instance: the traffic thread that drives the QuickRouter.
 //
-// Takes whole HTTP requests from the server's threads, routes them, sends them to backend servers or to another data
-// centre's entry, checks that what comes back is the whole answer to this very request, and answers the caller. A request
-// with an idempotency key is first recorded in the ledger of the key's home data centre; nothing is sent before that.
+// Receives complete HTTP requests from the server's threads, routes them, sends them to backend servers or to an entry
+// instance of another data centre, verifies that the response is complete and belongs to this request, and answers the
+// caller. A request with an idempotency key is recorded in the ledger of the key's data centre before anything is sent.
 //
-// Thread safety: submit() and setHopTargets() from any thread; the rest happens on the service's own thread. Calls to
-// ledgers go through the function given to the constructor, whose completions may come from any thread.
+// Thread safety: submit(), isReady() and setConfiguration() may be called from any thread; all other work runs on the
+// service's own thread. The LedgerCall function may invoke its completions on any thread.
 
 #ifndef PADDLEPIER_INSTANCE_QUICKSERVICE_H
 #define PADDLEPIER_INSTANCE_QUICKSERVICE_H
@@ -31,13 +31,13 @@
 namespace paddlepier::instance
 {
 
-/** Path below which requests are passed to backend servers. */
+/** Path prefix of the requests that are forwarded to backend servers. */
 constexpr std::string_view quickPrefix = "/v1/quick/";
 
 class QuickService
 {
 public:
-    using LedgerCall = std::function<void(const std::string &dataCentre, rpc::Method method, std::string body, Duration patience, CallDone done)>;
+    using LedgerCall = std::function<void(const std::string &dataCentre, rpc::Method method, std::string body, Duration timeout, CallDone done)>;
 
     QuickService(const Settings &instanceSettings, Counters &counters, LedgerCall ledgerCall, std::uint64_t seed);
     ~QuickService();
@@ -45,16 +45,16 @@
     QuickService(const QuickService &) = delete;
     QuickService &operator=(const QuickService &) = delete;
 
-    /** Takes a request; it is answered later, by its deadline. */
+    /** Accepts a request, which is answered asynchronously, by its deadline. */
     void submit(const std::shared_ptr<http::Exchange> &exchange);
 
-    /** False in the first moments of the process, while it has no shares yet. Any thread may ask. */
+    /** False after the start of the process until it has received its first shares or the maximum startup time has passed. */
     bool isReady() const;
 
-    /** Puts a configuration into force. */
+    /** Applies the queue limit and the retry budget of @p deployment. */
     void setConfiguration(const DeploymentConfiguration &deployment);
 
-    /** Answers what is left, then ends the thread. */
+    /** Ends the thread. The server must have completed its exchanges before. */
     void stop();
 
 private:
@@ -67,20 +67,24 @@
         Timestamp deadline;
         bool isIdempotent = false;
         bool isHop = false;
-        /** Answers of attempts that ended whole, until the router has said which one counts. */
-        absl::flat_hash_map<std::uint64_t, http::Response> answers;
+        /** Complete responses by attempt, until the router has chosen the one to return. */
+        absl::flat_hash_map<std::uint64_t, http::Response> responses;
     };
 
     void run();
     void accept(const std::shared_ptr<http::Exchange> &exchange);
+    /** Fills @p caller from the headers. @return false if a header is invalid; @p refusal is then the response */
     bool readHeaders(const http::Request &request, Caller &caller, http::Response &refusal) const;
+    /** Records the request under its idempotency key in the ledger. */
     void openKey(std::uint64_t id);
-    void keyOpened(std::uint64_t id, const CallResult &result);
+    void handleKeyOpened(std::uint64_t id, const CallResult &result);
     void route(std::uint64_t id);
+    /** Executes the router's new attempts and results until there are none. */
     void pump();
     void send(const routing::Attempt &attempt);
-    void attemptEnded(const routing::Attempt &attempt, http::TransferResult result);
+    void handleAttemptEnd(const routing::Attempt &attempt, http::TransferResult result);
     void finish(const routing::Finished &finished);
+    /** Records the outcome of the request with the key, then calls @p closed, also if recording failed. */
     void closeKey(const Caller &caller, wire::RequestOutcome outcome, const http::Response *answer, const std::function<void()> &closed);
     void answerCaller(std::uint64_t id, wire::RequestOutcome outcome, http::Response answer);
     void renewShares(Timestamp now);
@@ -91,7 +95,7 @@
     const Settings &settings;
     const LedgerCall callLedger;
     Counters &counters;
-    Histogram &addedTime;
+    Histogram &requestTime;
     Mailbox mailbox;
     http::TransferPool pool;
     routing::QuickRouter router;
@@ -101,9 +105,9 @@
     const std::uint64_t incarnation;
     const Timestamp startedAt = controlNow();
     std::uint64_t shareSequence = 0;
-    /** Sequence of the newest answer taken. */
-    std::uint64_t shareAnswered = 0;
-    Timestamp nextShares = absl::InfinitePast();
+    /** Sequence of the last request for shares whose answer was accepted; 0 if there is none since the start or the last `Conflict`. */
+    std::uint64_t answeredShareSequence = 0;
+    Timestamp nextSharesRequestAt = absl::InfinitePast();
     std::atomic<bool> hasRequestedShares{false};
     std::atomic<bool> isStopping{false};
     std::thread thread;
