--- a/paddlepier/settings/configuration.cpp
+++ b/paddlepier/settings/configuration.cpp
@@ -1,4 +1,4 @@
-// The deployment's configuration.
+// The deployment's configuration: parsing, validation and comparison.
 
 #include "paddlepier/settings/configuration.h"
 
@@ -15,26 +15,27 @@
 
 using detail::TomlReader;
 
-constexpr std::uint32_t mostQueued = 100'000;
-constexpr std::uint32_t wholePercent = 100;
+constexpr std::uint32_t maxQueuedRequests = 100'000;
+constexpr std::uint32_t maxPercent = 100;
 
-using Lines = std::map<std::string, std::string>;
+/** Printed values by their full key. */
+using PrintedValues = std::map<std::string, std::string>;
 
-Lines toLines(const DeploymentConfiguration &configuration)
+PrintedValues printValues(const DeploymentConfiguration &configuration)
 {
-    Lines lines;
-    lines["quick.queuedRequests"] = configuration.queuedRequests == 0 ? "each instance's own" : absl::StrCat(configuration.queuedRequests);
-    lines["quick.retryBudgetPercent"] = absl::StrCat(configuration.retryBudgetPercent);
+    PrintedValues values;
+    values["quick.queuedRequests"] = configuration.queuedRequests == 0 ? "each instance's own" : absl::StrCat(configuration.queuedRequests);
+    values["quick.retryBudgetPercent"] = absl::StrCat(configuration.retryBudgetPercent);
     for (const auto &[partner, percent] : configuration.quotaPercent) {
-        lines[absl::StrCat("partners.", partner, ".quotaPercent")] = absl::StrCat(percent);
+        values[absl::StrCat("partners.", partner, ".quotaPercent")] = absl::StrCat(percent);
     }
-    return lines;
+    return values;
 }
 
-std::string valueIn(const Lines &lines, const std::string &key)
+std::string valueOrNone(const PrintedValues &values, const std::string &key)
 {
-    const auto found = lines.find(key);
-    return found == lines.end() ? "none" : found->second;
+    const auto found = values.find(key);
+    return found == values.end() ? "none" : found->second;
 }
 
 } // namespace
@@ -46,13 +47,13 @@
         TomlReader root(name, "", table);
         DeploymentConfiguration configuration;
         root.table("quick", false, [&configuration](TomlReader &reader) {
-            configuration.queuedRequests = reader.number("queuedRequests", 0, 1, mostQueued);
-            configuration.retryBudgetPercent = reader.number("retryBudgetPercent", configuration.retryBudgetPercent, 0, wholePercent);
+            configuration.queuedRequests = reader.number("queuedRequests", 0, 1, maxQueuedRequests);
+            configuration.retryBudgetPercent = reader.number("retryBudgetPercent", configuration.retryBudgetPercent, 0, maxPercent);
         });
         root.table("partners", false, [&configuration](TomlReader &reader) {
             for (const std::string &partner : reader.keys()) {
                 reader.table(partner, true, [&configuration, &partner](TomlReader &entry) {
-                    configuration.quotaPercent[partner] = entry.number("quotaPercent", wholePercent, 0, wholePercent);
+                    configuration.quotaPercent[partner] = entry.number("quotaPercent", maxPercent, 0, maxPercent);
                 });
             }
         });
@@ -65,14 +66,14 @@
 
 std::vector<std::string> describeChanges(const DeploymentConfiguration &before, const DeploymentConfiguration &after)
 {
-    const Lines old = toLines(before);
-    const Lines changed = toLines(after);
-    Lines all = old;
-    all.insert(changed.begin(), changed.end());
+    const PrintedValues previous = printValues(before);
+    const PrintedValues updated = printValues(after);
+    PrintedValues all = previous;
+    all.insert(updated.begin(), updated.end());
     std::vector<std::string> changes;
     for (const auto &[key, value] : all) {
-        if (valueIn(old, key) != valueIn(changed, key)) {
-            changes.push_back(absl::StrCat(key, ": ", valueIn(old, key), " -> ", valueIn(changed, key)));
+        if (valueOrNone(previous, key) != valueOrNone(updated, key)) {
+            changes.push_back(absl::StrCat(key, ": ", valueOrNone(previous, key), " -> ", valueOrNone(updated, key)));
         }
     }
     return changes;
--- a/paddlepier/settings/configuration.h
+++ b/paddlepier/settings/configuration.h
@@ -1,6 +1,6 @@
-// The deployment's configuration: what operators change while everything runs.
+// The deployment's configuration: the settings that operators can change at run time.
 //
-// A version is a TOML text; it is checked whole before it is accepted. Keys that are left out have the defaults below.
+// A version is a TOML text, which is validated completely before it is accepted. Omitted keys have the defaults below.
 //
 // Example:
 //     [quick]
@@ -8,7 +8,7 @@
 //     [partners.ferraresi]
 //     quotaPercent = 60
 //
-// Every mistake is one InvalidSettingsError whose text is `NAME:LINE: KEY: what is wrong`.
+// Every invalid text is reported by an InvalidSettingsError of the form `NAME:LINE: KEY: problem`.
 // Thread safety: plain values; free functions without state.
 
 #ifndef PADDLEPIER_SETTINGS_CONFIGURATION_H
@@ -24,20 +24,20 @@
 {
 
 struct DeploymentConfiguration {
-    /** Requests that may wait in one entry instance; 0 for the instance's own limit. */
+    /** Maximum number of quick requests queued in an entry instance; 0 selects the limit in the instance's own settings. */
     std::uint32_t queuedRequests = 0;
-    /** Retries that quick requests earn, in per cent of requests. */
+    /** Retries added to the retry budget of quick requests, in per cent of the requests. */
     std::uint32_t retryBudgetPercent = 10;
-    /** Largest part of a data centre that a partner's tasks may take, in per cent, by partner. */
+    /** Maximum share of a data centre that a partner's tasks may reserve, in per cent, by partner. */
     std::map<std::string, std::uint32_t> quotaPercent;
 
     bool operator==(const DeploymentConfiguration &) const = default;
 };
 
-/** @throws InvalidSettingsError for the first mistake found */
+/** @p name stands for the file in errors. @throws InvalidSettingsError for the first error found */
 DeploymentConfiguration parseConfiguration(std::string_view text, const std::string &name);
 
-/** The differences between two configurations, one readable line each. */
+/** The differences between two configurations, one line `KEY: OLD -> NEW` per changed key, sorted by key. */
 std::vector<std::string> describeChanges(const DeploymentConfiguration &before, const DeploymentConfiguration &after);
 
 } // namespace paddlepier
--- a/paddlepier/settings/settings.cpp
+++ b/paddlepier/settings/settings.cpp
@@ -1,4 +1,4 @@
-// Reading and checking of settings.
+// Parsing and validation of an entry instance's settings.
 
 #include "paddlepier/settings/settings.h"
 
@@ -20,7 +20,7 @@
 
 using detail::TomlReader;
 
-constexpr std::size_t shortestKey = 8;
+constexpr std::size_t minSecretLength = 8;
 
 bool isNumericAddress(const std::string &address)
 {
@@ -28,7 +28,7 @@
     return inet_pton(AF_INET, address.c_str(), parsed.data()) == 1 || inet_pton(AF_INET6, address.c_str(), parsed.data()) == 1;
 }
 
-/** Identifiers stand in file names, log lines and job names, hence the narrow set. */
+/** Identifiers are part of file names, log lines and job names, so only characters that are safe in all of them are allowed. */
 bool isIdentifier(std::string_view text)
 {
     const auto allowed = [](char c) { return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-'; };
@@ -97,14 +97,14 @@
 
 void readTiming(TomlReader &reader, TimingSettings &timing)
 {
-    const Duration shortest = absl::Milliseconds(10);
-    const Duration longest = absl::Minutes(10);
-    timing.announceInterval = reader.milliseconds("announceMillis", timing.announceInterval, shortest, longest);
-    timing.workerSilence = reader.milliseconds("workerSilenceMillis", timing.workerSilence, shortest, longest);
-    timing.taskLease = reader.milliseconds("taskLeaseMillis", timing.taskLease, shortest, longest);
-    timing.shareLease = reader.milliseconds("shareLeaseMillis", timing.shareLease, shortest, longest);
-    timing.heartbeat = reader.milliseconds("heartbeatMillis", timing.heartbeat, shortest, longest);
-    timing.election = reader.milliseconds("electionMillis", timing.election, shortest, longest);
+    const Duration minTime = absl::Milliseconds(10);
+    const Duration maxTime = absl::Minutes(10);
+    timing.announceInterval = reader.milliseconds("announceMillis", timing.announceInterval, minTime, maxTime);
+    timing.workerSilence = reader.milliseconds("workerSilenceMillis", timing.workerSilence, minTime, maxTime);
+    timing.taskLease = reader.milliseconds("taskLeaseMillis", timing.taskLease, minTime, maxTime);
+    timing.shareLease = reader.milliseconds("shareLeaseMillis", timing.shareLease, minTime, maxTime);
+    timing.heartbeat = reader.milliseconds("heartbeatMillis", timing.heartbeat, minTime, maxTime);
+    timing.election = reader.milliseconds("electionMillis", timing.election, minTime, maxTime);
     timing.driftPerMille = reader.number("driftPerMille", timing.driftPerMille, 0, 200);
     if (timing.taskLease <= 2 * timing.announceInterval) {
         reader.fail("taskLeaseMillis", "must be more than twice announceMillis");
@@ -132,8 +132,8 @@
 {
     TokenSettings token;
     token.token = reader.requiredText("token");
-    if (token.token.size() < shortestKey) {
-        reader.fail("token", absl::StrCat("must have at least ", shortestKey, " characters"));
+    if (token.token.size() < minSecretLength) {
+        reader.fail("token", absl::StrCat("must have at least ", minSecretLength, " characters"));
     }
     token.partner = readIdentifier(reader, "partner");
     token.role = readRole(reader);
@@ -183,8 +183,8 @@
     });
     root.table("cell", true, [&settings](TomlReader &reader) {
         settings.cellKey = reader.requiredText("key");
-        if (settings.cellKey.size() < shortestKey) {
-            reader.fail("key", absl::StrCat("must have at least ", shortestKey, " characters"));
+        if (settings.cellKey.size() < minSecretLength) {
+            reader.fail("key", absl::StrCat("must have at least ", minSecretLength, " characters"));
         }
     });
     root.table("limits", false, [&settings](TomlReader &reader) { readLimits(reader, settings.limits); });
--- a/paddlepier/settings/settings.h
+++ b/paddlepier/settings/settings.h
@@ -1,12 +1,12 @@
-// Settings of one entry instance, read from TOML and checked whole before anything starts.
+// Settings of an entry instance, read from TOML and validated completely before the instance starts.
 //
-// Guarantee: loadSettings() either gives settings in which every value is within its documented bounds and every name
-// that is referred to exists, or throws one InvalidSettingsError whose text is `FILE:LINE: KEY: what is wrong`.
+// Guarantee: loadSettings() either returns settings in which every value is within its documented bounds and every
+// referenced name is defined, or throws an InvalidSettingsError of the form `FILE:LINE: KEY: problem`.
 //
 // Example:
 //     const Settings settings = loadSettings("instance.toml");
 //
-// Thread safety: a plain value; share it as const.
+// Thread safety: plain values; share them as const.
 
 #ifndef PADDLEPIER_SETTINGS_SETTINGS_H
 #define PADDLEPIER_SETTINGS_SETTINGS_H
@@ -29,10 +29,10 @@
     std::string address;
     std::uint16_t port = 0;
 
-    /** `address:port`, with brackets round an IPv6 address. */
+    /** `address:port`, with an IPv6 address in brackets. */
     std::string text() const;
 
-    /** Reads `1.2.3.4:80` or `[::1]:80`; host names are refused, since a process learns addresses from its settings. */
+    /** Parses `1.2.3.4:80` or `[::1]:80`. Host names are rejected: processes take addresses from their settings only. */
     static std::optional<Endpoint> parse(std::string_view text);
 
     bool operator==(const Endpoint &) const = default;
@@ -47,23 +47,23 @@
     Endpoint peer;
 };
 
-/** Which instances hold the replicas of one data centre's ledger. */
+/** The instances that host the replicas of a data centre's ledger. */
 struct LedgerSettings {
     std::string dataCentre;
     std::vector<std::string> replicas;
 };
 
-/** What the holder of a token may do, and for which partner. */
+/** A bearer token with the role and partner that it grants. */
 struct TokenSettings {
     std::string token;
     std::string partner;
     wire::Role role = wire::Role::None;
 };
 
-/** Name of the ledger that holds the deployment's configuration; it has no workers. */
+/** Name of the ledger that stores the deployment's configuration; it has no workers. */
 constexpr std::string_view deploymentLedger = "deployment";
 
-/** Bounds on what one instance holds at a time. */
+/** Resource limits of one instance. */
 struct LimitSettings {
     std::uint32_t trafficThreads = 2;
     std::uint32_t connections = 1024;
@@ -73,7 +73,7 @@
     Duration connectionIdle = absl::Seconds(15);
 };
 
-/** Times that the promises rest on; the same in every instance of a data centre. */
+/** Times on which the guarantees depend; they must be equal in all instances of a data centre. */
 struct TimingSettings {
     Duration announceInterval = absl::Seconds(1);
     Duration workerSilence = absl::Seconds(3);
@@ -81,7 +81,7 @@
     Duration shareLease = absl::Milliseconds(1500);
     Duration heartbeat = absl::Milliseconds(100);
     Duration election = absl::Milliseconds(500);
-    /** Largest rate difference of two clocks, in parts per thousand. */
+    /** Maximum difference in rate between two clocks, in parts per thousand. */
     std::uint32_t driftPerMille = 10;
 };
 
@@ -89,7 +89,7 @@
     std::string id;
     std::string partner;
     std::string dataCentre;
-    /** Empty if the instance has no disk. */
+    /** Folder of the instance's data; empty if the instance has no disk. */
     std::string dataFolder;
     Endpoint http;
     Endpoint peer;
@@ -101,25 +101,25 @@
     LimitSettings limits;
     TimingSettings timing;
     /**
-     * Instances are found at run time and are named by their peer address; `peers` is empty. Not in the settings file:
-     * set where the deployment tells a process no more than a few addresses to begin with.
+     * If true, instances are discovered at run time and named by their peer address, and `peers` is empty. It isn't read from
+     * the settings file; it is set for deployments that give a process only a few initial addresses.
      */
     bool acceptsUnknownPeers = false;
 
     const PeerSettings *findPeer(std::string_view instance) const;
     const LedgerSettings *findLedger(std::string_view dataCentre) const;
 
-    /** Entry instances of one partner in this data centre, this one included. */
+    /** Entry instances of a partner in this data centre, including this instance. */
     std::vector<std::string> entriesOf(std::string_view entryPartner) const;
 
-    /** Data centres that have a ledger, in the order of the settings; the deployment's ledger is not among them. */
+    /** Data centres that have a ledger, in the order of the settings, without the deployment's ledger. */
     std::vector<std::string> dataCentres() const;
 };
 
-/** @throws InvalidSettingsError for the first mistake found */
+/** @throws InvalidSettingsError for the first error found */
 Settings loadSettings(const std::string &path);
 
-/** The same for a text; @p name stands for the file in errors. */
+/** As loadSettings(), for a text; @p name stands for the file in errors. */
 Settings parseSettings(std::string_view text, const std::string &name);
 
 } // namespace paddlepier
--- a/paddlepier/settings/settings_test.cpp
+++ b/paddlepier/settings/settings_test.cpp
@@ -1,4 +1,5 @@
-// Settings: every kind of mistake gives one typed error that names file, line and key.
+// Settings: each kind of invalid setting must be rejected with a typed error that names the file, line and key, before the
+// instance starts.
 
 #include "paddlepier/settings/settings.h"
 
@@ -14,7 +15,7 @@
 class SettingsFixture
 {
 protected:
-    /** Replaces @p from in a valid file by @p to and gives the error's text; empty if it is accepted. */
+    /** Parses a valid file with @p from replaced by @p to, or @p to appended if @p from is empty. @return the error; empty if accepted */
     std::string errorAfter(const std::string &from, const std::string &to) const
     {
         std::string text = this->valid;
@@ -64,7 +65,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(SettingsFixture, "parse_validFile_givesAllValues")
+TEST_CASE_METHOD(SettingsFixture, "parse_validFile_returnsAllValues")
 {
     const Settings settings = parseSettings(this->valid, "x.toml");
     REQUIRE(settings.id == "a");
@@ -75,7 +76,7 @@
     REQUIRE(settings.entriesOf("p") == std::vector<std::string>{"a", "b"});
 }
 
-TEST_CASE_METHOD(SettingsFixture, "parse_anyMistake_namesFileLineAndKey")
+TEST_CASE_METHOD(SettingsFixture, "parse_invalidSetting_errorNamesFileLineAndKey")
 {
     struct Row {
         std::string from;
@@ -109,7 +110,7 @@
     }
 }
 
-TEST_CASE("load_missingFile_isTypedError")
+TEST_CASE("load_missingFile_throwsInvalidSettings")
 {
     REQUIRE_THROWS_AS(loadSettings("no-such-file.toml"), InvalidSettingsError);
 }
--- a/paddlepier/settings/socketaddress.cpp
+++ b/paddlepier/settings/socketaddress.cpp
@@ -1,4 +1,4 @@
-// Socket addresses of endpoints.
+// Converts endpoints to socket addresses.
 
 #include "paddlepier/settings/socketaddress.h"
 
--- a/paddlepier/settings/socketaddress.h
+++ b/paddlepier/settings/socketaddress.h
@@ -1,10 +1,10 @@
-// Socket addresses of endpoints.
+// Converts endpoints to socket addresses.
 //
 // Example:
 //     const SocketAddress address = toSocketAddress(settings.http);
 //     bind(descriptor, address.pointer(), address.size);
 //
-// Thread safety: plain values; a free function without state.
+// Thread safety: plain values; a stateless free function.
 
 #ifndef PADDLEPIER_SETTINGS_SOCKETADDRESS_H
 #define PADDLEPIER_SETTINGS_SOCKETADDRESS_H
@@ -16,7 +16,7 @@
 namespace paddlepier
 {
 
-/** An address as the system's calls take it. */
+/** An IPv4 or IPv6 address in the form that bind() and connect() expect. */
 struct SocketAddress {
     sockaddr_storage storage{};
     socklen_t size = 0;
@@ -32,7 +32,7 @@
     }
 };
 
-/** @p endpoint must hold a numeric address, as Endpoint::parse() gives. */
+/** @p endpoint must hold a numeric address, as returned by Endpoint::parse(). */
 SocketAddress toSocketAddress(const Endpoint &endpoint);
 
 } // namespace paddlepier
--- a/paddlepier/settings/tomlreader.cpp
+++ b/paddlepier/settings/tomlreader.cpp
@@ -1,4 +1,4 @@
-// Checked access to one TOML table.
+// Validating access to a TOML table.
 
 #include "paddlepier/settings/tomlreader.h"
 
@@ -33,7 +33,7 @@
 
 const toml::node *TomlReader::find(std::string_view key)
 {
-    this->known.emplace(key);
+    this->readKeys.emplace(key);
     return this->values.get(key);
 }
 
@@ -73,7 +73,7 @@
     return node->as_boolean()->get();
 }
 
-std::uint32_t TomlReader::number(std::string_view key, std::uint32_t fallback, std::uint32_t lowest, std::uint32_t highest)
+std::uint32_t TomlReader::number(std::string_view key, std::uint32_t fallback, std::uint32_t minimum, std::uint32_t maximum)
 {
     const toml::node *node = this->find(key);
     if (node == nullptr) {
@@ -83,16 +83,16 @@
         this->fail(key, "must be an integer");
     }
     const std::int64_t value = node->as_integer()->get();
-    if (value < static_cast<std::int64_t>(lowest) || value > static_cast<std::int64_t>(highest)) {
-        this->fail(key, absl::StrCat("must be from ", lowest, " to ", highest, ", is ", value));
+    if (value < static_cast<std::int64_t>(minimum) || value > static_cast<std::int64_t>(maximum)) {
+        this->fail(key, absl::StrCat("must be from ", minimum, " to ", maximum, ", is ", value));
     }
     return static_cast<std::uint32_t>(value);
 }
 
-Duration TomlReader::milliseconds(std::string_view key, Duration fallback, Duration lowest, Duration highest)
+Duration TomlReader::milliseconds(std::string_view key, Duration fallback, Duration minimum, Duration maximum)
 {
     const auto toNumber = [](Duration duration) { return static_cast<std::uint32_t>(absl::ToInt64Milliseconds(duration)); };
-    return absl::Milliseconds(this->number(key, toNumber(fallback), toNumber(lowest), toNumber(highest)));
+    return absl::Milliseconds(this->number(key, toNumber(fallback), toNumber(minimum), toNumber(maximum)));
 }
 
 std::vector<std::string> TomlReader::requiredTexts(std::string_view key)
@@ -159,7 +159,7 @@
 void TomlReader::finish() const
 {
     for (const auto &[key, node] : this->values) {
-        if (!this->known.contains(key.str())) {
+        if (!this->readKeys.contains(key.str())) {
             this->fail(key.str(), "is not a known key");
         }
     }
--- a/paddlepier/settings/tomlreader.h
+++ b/paddlepier/settings/tomlreader.h
@@ -1,9 +1,9 @@
-// Checked access to one TOML table.
+// Validating access to a TOML table.
 //
-// A reader hands out values by key, within bounds, and knows which keys were asked for; finish() then refuses every
-// other key, so that a misspelt one is an error and not silently a default.
+// A reader returns values by key, checks their types and bounds, and records which keys were read. finish() then rejects
+// all other keys, so that a misspelt key is an error instead of silently leaving the default in place.
 //
-// Thread safety: none; used while settings load.
+// Thread safety: none; used only while settings are loaded.
 
 #ifndef PADDLEPIER_SETTINGS_TOMLREADER_H
 #define PADDLEPIER_SETTINGS_TOMLREADER_H
@@ -21,32 +21,35 @@
 namespace paddlepier::detail
 {
 
-/** Reader of one table; every failure is an InvalidSettingsError that names file, line and key. */
+/** Reader of one table. Every failure is an InvalidSettingsError that names the file, line and key. */
 class TomlReader
 {
 public:
     TomlReader(const std::string &fileName, const std::string &tableName, const toml::table &source);
 
-    /** A non-empty string. */
+    /** A string that must be present and not empty. */
     std::string requiredText(std::string_view key);
     std::string optionalText(std::string_view key, const std::string &fallback);
     bool flag(std::string_view key, bool fallback);
-    std::uint32_t number(std::string_view key, std::uint32_t fallback, std::uint32_t lowest, std::uint32_t highest);
-    /** An integer number of milliseconds. */
-    Duration milliseconds(std::string_view key, Duration fallback, Duration lowest, Duration highest);
+    /** An integer from @p minimum to @p maximum. */
+    std::uint32_t number(std::string_view key, std::uint32_t fallback, std::uint32_t minimum, std::uint32_t maximum);
+    /** A duration, written as an integer number of milliseconds. */
+    Duration milliseconds(std::string_view key, Duration fallback, Duration minimum, Duration maximum);
+    /** An array of at least one string. */
     std::vector<std::string> requiredTexts(std::string_view key);
 
-    /** Reads a sub-table, or an empty one if it's missing and not @p required. */
+    /** Passes a reader of the sub-table to @p read, then rejects unread keys. A missing table is an error only if @p required. */
     void table(std::string_view key, bool required, const std::function<void(TomlReader &)> &read);
-    /** Reads each element of an array of tables. */
+    /** As table(), for each element of an array of tables, which may be missing. */
     void tables(std::string_view key, const std::function<void(TomlReader &)> &read);
 
-    /** All keys of the table, for tables whose keys are names. */
+    /** All keys of the table; for tables whose keys are names chosen by the user. */
     std::vector<std::string> keys() const;
 
-    /** Refuses every key that was not asked for. */
+    /** Rejects every key that hasn't been read. */
     void finish() const;
 
+    /** Throws the InvalidSettingsError for @p key, at the key's line, or at the table's line if the key is missing. */
     [[noreturn]] void fail(std::string_view key, const std::string &problem) const;
 
 private:
@@ -56,10 +59,11 @@
     const std::string &file;
     const std::string name;
     const toml::table &values;
-    std::set<std::string, std::less<>> known;
+    /** Keys that have been read. */
+    std::set<std::string, std::less<>> readKeys;
 };
 
-/** The whole file. @throws InvalidSettingsError if it can't be read */
+/** The content of a file. @throws InvalidSettingsError if it is empty or can't be read */
 std::string readTextFile(const std::string &path);
 
 } // namespace paddlepier::detail
