--- a/paddlepier/cli/client.cpp
+++ b/paddlepier/cli/client.cpp
@@ -1,4 +1,4 @@
-// Calls of the command line to an entry instance.
+// Client through which the command line calls an entry instance.
 
 #include "paddlepier/cli/client.h"
 
--- a/paddlepier/cli/client.h
+++ b/paddlepier/cli/client.h
@@ -1,10 +1,10 @@
-// Calls of the command line to an entry instance.
+// Client through which the command line calls an entry instance.
 //
 // Example:
 //     const Client client("127.0.0.1:8100", token);
 //     const auto reply = client.call<wire::StatusReplyT>(rpc::Method::Status, request);
 //
-// Thread safety: a const value after construction.
+// Thread safety: immutable after construction; a call blocks its thread until it completes or its timeout has passed.
 
 #ifndef PADDLEPIER_CLI_CLIENT_H
 #define PADDLEPIER_CLI_CLIENT_H
@@ -24,10 +24,10 @@
     Client(std::string server, std::string token);
 
     /**
-     * Makes a call and waits for its end.
+     * Makes a call and waits for its completion.
      *
-     * @return bytes of the reply table
-     * @throws the typed Error that the instance answered with, or DataCentreUnreachableError if it can't be reached
+     * @return the serialized reply table
+     * @throws Error with the code that the instance answered, or DataCentreUnreachableError if the instance didn't answer
      */
     std::string callBytes(rpc::Method method, const std::string &request) const;
 
--- a/paddlepier/cli/commandline.h
+++ b/paddlepier/cli/commandline.h
@@ -1,4 +1,4 @@
-// Arguments of one subcommand of the `paddlepier` program.
+// Command line parser of one subcommand of the `paddlepier` program.
 //
 // Example:
 //     CommandLine line("Checks a settings file.", "paddlepier config check instance.toml");
@@ -21,7 +21,7 @@
 
 inline constexpr const char *programVersion = "0.1.0";
 
-/** One subcommand's arguments; help shows an example. */
+/** The arguments of one subcommand. Its help text includes an example. */
 class CommandLine
 {
 public:
@@ -36,6 +36,7 @@
         return this->parser;
     }
 
+    /** Parses the words from the subcommand's name on. @throws TCLAP::ArgException if they are invalid */
     void parse(std::vector<std::string> words)
     {
         words[0] = absl::StrCat("paddlepier ", words[0]);
--- a/paddlepier/cli/commands.cpp
+++ b/paddlepier/cli/commands.cpp
@@ -37,7 +37,7 @@
     return value == nullptr ? fallback : value;
 }
 
-/** Arguments of every subcommand that calls an instance. */
+/** The arguments common to all subcommands that call an instance. */
 class ClientArguments
 {
 public:
@@ -113,7 +113,7 @@
     TCLAP::SwitchArg json("j", "json", "print the result as JSON", line.arguments());
     line.parse(words);
     if (action.getValue() != "check") {
-        throw UsageError(absl::StrCat("config ", action.getValue(), ": the actions are check and status"));
+        throw UsageError(absl::StrCat("config ", action.getValue(), ": unknown action; expected check or status"));
     }
     const Settings settings = loadSettings(file.getValue());
     if (json.getValue()) {
@@ -135,10 +135,10 @@
     const ClientArguments client(line.arguments());
     TCLAP::UnlabeledValueArg<std::string> file("file", "configuration file", true, "", "file", line.arguments());
     line.parse(words);
-    const DeploymentConfiguration wanted = parseConfiguration(detail::readTextFile(file.getValue()), file.getValue());
+    const DeploymentConfiguration desired = parseConfiguration(detail::readTextFile(file.getValue()), file.getValue());
     const wire::ConfigurationStatusReplyT status = fetchStatus(client);
     const DeploymentConfiguration current = parseConfiguration(status.configuration->text, "accepted configuration");
-    const std::vector<std::string> changes = describeChanges(current, wanted);
+    const std::vector<std::string> changes = describeChanges(current, desired);
     if (client.wantsJson()) {
         std::string list;
         for (const std::string &change : changes) {
@@ -159,8 +159,8 @@
     CommandLine line("Applies a configuration file; applying it twice changes nothing.", "paddlepier apply cell.toml --expected-version 4 --revision 9f2c1e");
     const ClientArguments client(line.arguments());
     TCLAP::UnlabeledValueArg<std::string> file("file", "configuration file", true, "", "file", line.arguments());
-    TCLAP::ValueArg<std::uint64_t> expected("e", "expected-version", "version that the change was made against; see plan", true, 0, "number", line.arguments());
-    TCLAP::ValueArg<std::string> revision("r", "revision", "where the file comes from, such as a commit", true, "", "text", line.arguments());
+    TCLAP::ValueArg<std::uint64_t> expected("e", "expected-version", "version on which the change is based; see plan", true, 0, "number", line.arguments());
+    TCLAP::ValueArg<std::string> revision("r", "revision", "origin of the file, such as a commit id", true, "", "text", line.arguments());
     line.parse(words);
     wire::ChangeRequestT request;
     request.text = detail::readTextFile(file.getValue());
@@ -168,7 +168,7 @@
     request.expectedVersion = expected.getValue();
     parseConfiguration(request.text, file.getValue());
     return callAndPrint<wire::ChangeReplyT>(client, rpc::Method::Change, request, [](const wire::ChangeReplyT &reply) {
-        std::cout << "version " << reply.version << (reply.unchanged ? " was in force already" : " accepted") << "\n";
+        std::cout << "version " << reply.version << (reply.unchanged ? " was already accepted" : " accepted") << "\n";
     });
 }
 
@@ -187,21 +187,21 @@
     CommandLine line("Submits a job from a job file.", "paddlepier submit --file profile-rebuild.toml --data-centre atlanta-1");
     const ClientArguments client(line.arguments());
     TCLAP::ValueArg<std::string> file("f", "file", "job file", true, "", "file", line.arguments());
-    TCLAP::ValueArg<std::string> dataCentre("d", "data-centre", "where to run it; default: the instance's own", false, "", "name", line.arguments());
-    TCLAP::ValueArg<std::string> id("i", "submission-id", "submitting again with the same id gives the same job", false, "", "text", line.arguments());
+    TCLAP::ValueArg<std::string> dataCentre("d", "data-centre", "data centre to run it in; default: the instance's own", false, "", "name", line.arguments());
+    TCLAP::ValueArg<std::string> id("i", "submission-id", "submitting again with the same id returns the same job", false, "", "text", line.arguments());
     line.parse(words);
     wire::SubmitRequestT request;
     request.spec = std::make_unique<wire::JobSpecT>(loadJobFile(file.getValue()));
     request.dataCentre = dataCentre.getValue();
     request.submissionId = id.getValue().empty() ? randomSubmissionId() : id.getValue();
     return callAndPrint<wire::SubmitReplyT>(client, rpc::Method::Submit, request, [](const wire::SubmitReplyT &reply) {
-        std::cout << reply.job << (reply.alreadyKnown ? " (known already)" : "") << "\n";
+        std::cout << reply.job << (reply.alreadyKnown ? " (already submitted)" : "") << "\n";
     });
 }
 
 ExitStatus runExplain(const std::vector<std::string> &words)
 {
-    CommandLine line("Tells the state of a job, and why it waits.", "paddlepier explain atlanta-1.17");
+    CommandLine line("Explains the state of a job and why it is waiting.", "paddlepier explain atlanta-1.17");
     const ClientArguments client(line.arguments());
     TCLAP::UnlabeledValueArg<std::string> job("job", "name of the job", true, "", "job", line.arguments());
     line.parse(words);
@@ -220,24 +220,24 @@
     wire::CancelRequestT request;
     request.job = job.getValue();
     return callAndPrint<wire::CancelReplyT>(client, rpc::Method::Cancel, request, [](const wire::CancelReplyT &reply) {
-        std::cout << reply.job << (reply.alreadyEnded ? " had ended already" : " cancelled") << "\n";
+        std::cout << reply.job << (reply.alreadyEnded ? " had already ended" : " cancelled") << "\n";
     });
 }
 
 ExitStatus runDrain(const std::vector<std::string> &words)
 {
-    CommandLine line("Stops giving new work to a worker.", "paddlepier drain worker-7 --data-centre atlanta-1");
+    CommandLine line("Drains a worker, so that it receives no new work.", "paddlepier drain worker-7 --data-centre atlanta-1");
     const ClientArguments client(line.arguments());
     TCLAP::UnlabeledValueArg<std::string> worker("worker", "name of the worker", true, "", "worker", line.arguments());
     TCLAP::ValueArg<std::string> dataCentre("d", "data-centre", "default: the instance's own", false, "", "name", line.arguments());
-    TCLAP::SwitchArg undo("u", "undo", "give it work again", line.arguments());
+    TCLAP::SwitchArg undo("u", "undo", "end the drain, so that the worker receives new work again", line.arguments());
     line.parse(words);
     wire::DrainRequestT request;
     request.worker = worker.getValue();
     request.dataCentre = dataCentre.getValue();
     request.undo = undo.getValue();
     return callAndPrint<wire::DrainReplyT>(client, rpc::Method::Drain, request, [](const wire::DrainReplyT &reply) {
-        std::cout << reply.worker << (reply.draining ? " gets no new work" : " gets work again") << "\n";
+        std::cout << reply.worker << (reply.draining ? " receives no new work" : " receives new work again") << "\n";
     });
 }
 
@@ -254,16 +254,16 @@
 
 ExitStatus runStatus(const std::vector<std::string> &words)
 {
-    CommandLine line("Shows every data centre, or one: leader, workers, tasks.", "paddlepier status");
+    CommandLine line("Shows leader, workers and tasks of every data centre, or of one.", "paddlepier status");
     const ClientArguments client(line.arguments());
-    TCLAP::ValueArg<std::string> dataCentre("d", "data-centre", "only this one", false, "", "name", line.arguments());
+    TCLAP::ValueArg<std::string> dataCentre("d", "data-centre", "show only this data centre", false, "", "name", line.arguments());
     line.parse(words);
     wire::StatusRequestT request;
     request.dataCentre = dataCentre.getValue();
-    ExitStatus worst =
+    ExitStatus overallStatus =
         callAndPrint<wire::StatusReplyT>(client, rpc::Method::Status, request, [](const wire::StatusReplyT &reply) { printStatus(std::cout, reply); });
     if (!dataCentre.getValue().empty()) {
-        return worst;
+        return overallStatus;
     }
     const auto own = client.client().call<wire::StatusReplyT>(rpc::Method::Status, request);
     for (const std::string &other : own.dataCentres) {
@@ -275,10 +275,10 @@
             callAndPrint<wire::StatusReplyT>(client, rpc::Method::Status, request, [](const wire::StatusReplyT &reply) { printStatus(std::cout, reply); });
         } catch (const Error &error) {
             std::cerr << other << ": " << nameOf(error.code()) << ": " << error.what() << "\n";
-            worst = ExitStatus::Unreachable;
+            overallStatus = ExitStatus::Unreachable;
         }
     }
-    return worst;
+    return overallStatus;
 }
 
 ExitStatus runVersion(const std::vector<std::string> &words)
@@ -298,22 +298,22 @@
     {"submit", "submit a job from a file", &runSubmit},
     {"list", "list the jobs of a data centre", &runList},
     {"status", "show leaders, workers and tasks", &runStatus},
-    {"explain", "tell why a job waits", &runExplain},
+    {"explain", "explain why a job is waiting", &runExplain},
     {"cancel", "cancel a job", &runCancel},
-    {"drain", "stop giving work to a worker", &runDrain},
+    {"drain", "drain a worker", &runDrain},
     {"version", "print the version", &runVersion},
 }};
 
 void printUsage(std::ostream &out, const std::vector<Command> &commands)
 {
-    out << "usage: paddlepier COMMAND [arguments]; paddlepier COMMAND --help tells more\n\n";
+    out << "usage: paddlepier COMMAND [arguments]; paddlepier COMMAND --help describes its arguments\n\n";
     for (const Command &command : commands) {
         out << "  " << command.name << std::string(10 - std::string(command.name).size(), ' ') << command.summary << "\n";
     }
     out << "\nexit status: 0 done, 1 refused, 2 wrong arguments or settings, 3 unreachable, 5 data folder\n";
 }
 
-ExitStatus statusOf(ErrorCode code)
+ExitStatus exitStatusOf(ErrorCode code)
 {
     switch (code) {
     case ErrorCode::Usage:
@@ -333,10 +333,10 @@
     }
 }
 
-ExitStatus dispatch(const std::vector<std::string> &arguments, const std::vector<Command> &others)
+ExitStatus dispatch(const std::vector<std::string> &arguments, const std::vector<Command> &extraCommands)
 {
     std::vector<Command> commands(ownCommands.begin(), ownCommands.end());
-    commands.insert(commands.end(), others.begin(), others.end());
+    commands.insert(commands.end(), extraCommands.begin(), extraCommands.end());
     const std::string name = arguments.size() > 1 ? arguments[1] : "";
     if (name == "--help" || name == "-h" || name == "help") {
         printUsage(std::cout, commands);
@@ -347,22 +347,22 @@
             return command.run({arguments.begin() + 1, arguments.end()});
         }
     }
-    throw UsageError(name.empty() ? "a command is needed; paddlepier --help lists them"
-                                  : absl::StrCat("no command \"", name, "\"; paddlepier --help lists them"));
+    throw UsageError(name.empty() ? "missing command; paddlepier --help lists the commands"
+                                  : absl::StrCat("unknown command \"", name, "\"; paddlepier --help lists the commands"));
 }
 
 ExitStatus fail(ErrorCode code, const std::string &message)
 {
     std::cerr << "paddlepier: " << nameOf(code) << ": " << message << "\n";
-    return statusOf(code);
+    return exitStatusOf(code);
 }
 
 } // namespace
 
-ExitStatus runCommand(const std::vector<std::string> &arguments, const std::vector<Command> &others)
+ExitStatus runCommand(const std::vector<std::string> &arguments, const std::vector<Command> &extraCommands)
 {
     try {
-        return dispatch(arguments, others);
+        return dispatch(arguments, extraCommands);
     } catch (const Error &error) {
         return fail(error.code(), error.what());
     } catch (const TCLAP::ExitException &exit) {
--- a/paddlepier/cli/commands.h
+++ b/paddlepier/cli/commands.h
@@ -1,12 +1,12 @@
 // Subcommands of the `paddlepier` program.
 //
-// Each subcommand reads its arguments with TCLAP, does its work and gives the exit status. Everything that goes wrong is
-// an Error; runCommand() prints it as one line and turns it into the status:
+// Each subcommand parses its arguments with TCLAP, executes and returns the exit status. Failures are thrown as Error;
+// runCommand() prints them as a single line and maps them to the exit status:
 //
-//     0  done
+//     0  success
 //     1  the instance refused the call
-//     2  wrong arguments, settings or job file
-//     3  no answer, or the data centre has no leader that can be reached
+//     2  invalid arguments, settings or job file
+//     3  no answer, or the data centre has no reachable leader
 //     5  the data folder can't be read or written
 //
 // Thread safety: none; called once by main().
@@ -22,7 +22,7 @@
 
 enum class ExitStatus { Done = 0, Refused = 1, Usage = 2, Unreachable = 3, Storage = 5 };
 
-/** A subcommand; run() gets the words after the program's name. */
+/** A subcommand; run() receives the words after the program's name, starting with the subcommand's. */
 struct Command {
     const char *name;
     const char *summary;
@@ -30,10 +30,12 @@
 };
 
 /**
+ * Runs the subcommand named in @p arguments.
+ *
  * @param arguments the program's name, the subcommand and its arguments
- * @param others subcommands that this library doesn't bring itself
+ * @param extraCommands subcommands in addition to those of this library
  */
-ExitStatus runCommand(const std::vector<std::string> &arguments, const std::vector<Command> &others = {});
+ExitStatus runCommand(const std::vector<std::string> &arguments, const std::vector<Command> &extraCommands = {});
 
 } // namespace paddlepier::cli
 
--- a/paddlepier/cli/jobfile.cpp
+++ b/paddlepier/cli/jobfile.cpp
@@ -1,4 +1,4 @@
-// Job files.
+// Parsing and validation of job files.
 
 #include "paddlepier/cli/jobfile.h"
 
@@ -17,10 +17,10 @@
 
 using paddlepier::detail::TomlReader;
 
-constexpr std::uint32_t mostSeconds = 366 * 24 * 3600;
-constexpr std::uint32_t mostMilliProcessors = 1'000'000;
-constexpr std::uint32_t mostMegabytes = 16U << 20U;
-constexpr std::uint32_t mostTasks = 10'000;
+constexpr std::uint32_t maxSeconds = 366 * 24 * 3600;
+constexpr std::uint32_t maxMilliProcessors = 1'000'000;
+constexpr std::uint32_t maxMemoryMegabytes = 16U << 20U;
+constexpr std::uint32_t maxTasks = 10'000;
 
 wire::JobKind readKind(TomlReader &reader)
 {
@@ -42,17 +42,17 @@
 {
     spec.name = reader.requiredText("name");
     spec.kind = readKind(reader);
-    spec.tasks = reader.number("tasks", 1, 1, mostTasks);
-    const std::uint32_t processors = reader.number("milliProcessors", 1000, 1, mostMilliProcessors);
-    const std::uint32_t memory = reader.number("memoryMegabytes", 256, 1, mostMegabytes);
-    const std::uint32_t accelerators = reader.number("accelerators", 0, 0, mostTasks);
+    spec.tasks = reader.number("tasks", 1, 1, maxTasks);
+    const std::uint32_t processors = reader.number("milliProcessors", 1000, 1, maxMilliProcessors);
+    const std::uint32_t memory = reader.number("memoryMegabytes", 256, 1, maxMemoryMegabytes);
+    const std::uint32_t accelerators = reader.number("accelerators", 0, 0, maxTasks);
     spec.resources = wire::Resources(processors, memory, accelerators);
-    spec.runSeconds = reader.number("runSeconds", 0, 0, mostSeconds);
-    spec.deadlineSeconds = reader.number("deadlineSeconds", 0, 0, mostSeconds);
-    spec.priority = static_cast<std::int32_t>(reader.number("priority", 0, 0, mostTasks));
+    spec.runSeconds = reader.number("runSeconds", 0, 0, maxSeconds);
+    spec.deadlineSeconds = reader.number("deadlineSeconds", 0, 0, maxSeconds);
+    spec.priority = static_cast<std::int32_t>(reader.number("priority", 0, 0, maxTasks));
     spec.urgent = reader.flag("urgent", false);
     spec.atMostOnce = reader.flag("atMostOnce", false);
-    spec.maxAttempts = reader.number("maxAttempts", spec.maxAttempts, 1, mostTasks);
+    spec.maxAttempts = reader.number("maxAttempts", spec.maxAttempts, 1, maxTasks);
     spec.command = reader.optionalText("command", "");
 }
 
--- a/paddlepier/cli/jobfile.h
+++ b/paddlepier/cli/jobfile.h
@@ -1,4 +1,4 @@
-// Job files: a job's declaration in TOML, as kept in version control.
+// Job files: the declaration of a job in TOML, to be kept under version control.
 //
 // Example:
 //     [job]
@@ -8,8 +8,8 @@
 //     milliProcessors = 2000
 //     memoryMegabytes = 2048
 //
-// Every mistake is one InvalidSettingsError whose text is `FILE:LINE: KEY: what is wrong`.
-// Thread safety: free functions without state.
+// An invalid job file is reported by an InvalidSettingsError of the form `FILE:LINE: KEY: problem`.
+// Thread safety: stateless free functions.
 
 #ifndef PADDLEPIER_CLI_JOBFILE_H
 #define PADDLEPIER_CLI_JOBFILE_H
@@ -22,9 +22,10 @@
 namespace paddlepier::cli
 {
 
-/** @throws InvalidSettingsError for the first mistake found */
+/** @throws InvalidSettingsError for the first error found */
 wire::JobSpecT loadJobFile(const std::string &path);
 
+/** As loadJobFile(), for a text; @p name stands for the file in errors. */
 wire::JobSpecT parseJobFile(std::string_view text, const std::string &name);
 
 } // namespace paddlepier::cli
--- a/paddlepier/cli/jobfile_test.cpp
+++ b/paddlepier/cli/jobfile_test.cpp
@@ -1,4 +1,5 @@
-// Job files and the JSON form of calls.
+// Job files must map every key to the job's specification and reject invalid ones with file, line and key. The call catalogue
+// must list every call of the schema and convert calls to JSON and back without loss.
 
 #include "paddlepier/cli/jobfile.h"
 
@@ -10,7 +11,7 @@
 
 using namespace paddlepier;
 
-TEST_CASE("jobFile_allKeys_areTakenOver")
+TEST_CASE("parseJobFile_validKeys_areCopiedToSpec")
 {
     const wire::JobSpecT spec =
         cli::parseJobFile("[job]\nname = \"x\"\nkind = \"gang\"\ntasks = 4\nmilliProcessors = 500\naccelerators = 1\nurgent = true\n", "f");
@@ -20,14 +21,14 @@
     REQUIRE(spec.urgent);
 }
 
-TEST_CASE("jobFile_mistakes_nameLineAndKey")
+TEST_CASE("parseJobFile_invalidValue_errorNamesLineAndKey")
 {
     REQUIRE_THROWS_WITH(cli::parseJobFile("[job]\nname = \"x\"\nkind = \"night\"\n", "f"), "f:3: job.kind: \"night\" is not one of service, batch, gang");
     REQUIRE_THROWS_WITH(cli::parseJobFile("[job]\nname = \"x\"\nkind = \"batch\"\ntasks = 0\n", "f"), "f:4: job.tasks: must be from 1 to 10000, is 0");
     REQUIRE_THROWS_AS(cli::parseJobFile("name = 1", "f"), InvalidSettingsError);
 }
 
-TEST_CASE("catalog_everyCallOfTheSchema_hasItsMethodAndRoute")
+TEST_CASE("catalog_everyCallOfSchema_hasMethodAndRoute")
 {
     const rpc::CallCatalog &catalog = rpc::CallCatalog::instance();
     REQUIRE(catalog.calls().size() == 13);
@@ -36,7 +37,7 @@
     REQUIRE(catalog.findRoute("/v2/JobService/Submit") == nullptr);
 }
 
-TEST_CASE("catalog_jsonThereAndBack_keepsEveryField")
+TEST_CASE("catalog_jsonRoundTrip_preservesFields")
 {
     const rpc::CallCatalog &catalog = rpc::CallCatalog::instance();
     const rpc::CallInfo &call = catalog.info(rpc::Method::Cancel);
--- a/paddlepier/cli/serve.cpp
+++ b/paddlepier/cli/serve.cpp
@@ -1,4 +1,4 @@
-// `paddlepier serve`.
+// `paddlepier serve`: signal handling around the instance.
 
 #include "paddlepier/cli/serve.h"
 
@@ -15,7 +15,7 @@
 
 void serve(const Settings &settings)
 {
-    // Blocked before any thread starts, so that only the waiting thread below gets them.
+    // Block the signals before any thread is started: threads inherit the mask, so only sigwait() below receives them.
     sigset_t signals;
     sigemptyset(&signals);
     sigaddset(&signals, SIGTERM);
--- a/paddlepier/cli/serve.h
+++ b/paddlepier/cli/serve.h
@@ -1,7 +1,7 @@
-// `paddlepier serve`: runs one entry instance until a signal asks it to stop.
+// `paddlepier serve`: runs an entry instance until it receives SIGTERM or SIGINT.
 //
-// SIGTERM and SIGINT ask for a planned stop, which cuts off no request in flight.
-// Thread safety: none; called once by the program's first thread.
+// The signal starts a graceful stop, in which the requests in flight are completed.
+// Thread safety: none; called once, by the program's main thread, before any other thread is started.
 
 #ifndef PADDLEPIER_CLI_SERVE_H
 #define PADDLEPIER_CLI_SERVE_H
@@ -11,7 +11,7 @@
 namespace paddlepier::cli
 {
 
-/** Returns after a planned stop. @throws any Error that makes the instance unable to start */
+/** Returns after a graceful stop. @throws Error if the instance can't start */
 void serve(const Settings &settings);
 
 } // namespace paddlepier::cli
--- a/paddlepier/cli/tables.cpp
+++ b/paddlepier/cli/tables.cpp
@@ -1,4 +1,4 @@
-// Text tables of the command line.
+// Prints replies as text tables on the command line.
 
 #include "paddlepier/cli/tables.h"
 
@@ -12,9 +12,9 @@
 namespace
 {
 
-std::string part(std::uint64_t used, std::uint64_t all)
+std::string usedOfTotal(std::uint64_t used, std::uint64_t total)
 {
-    return absl::StrCat(used, "/", all);
+    return absl::StrCat(used, "/", total);
 }
 
 std::string workerState(const wire::WorkerSummaryT &worker)
@@ -62,9 +62,9 @@
                         worker->rack,
                         workerState(*worker),
                         absl::StrCat(worker->tasks),
-                        part(worker->reserved.milliProcessors(), worker->capacity.milliProcessors()),
-                        part(worker->reserved.memoryMegabytes(), worker->capacity.memoryMegabytes()),
-                        part(worker->reserved.accelerators(), worker->capacity.accelerators())});
+                        usedOfTotal(worker->reserved.milliProcessors(), worker->capacity.milliProcessors()),
+                        usedOfTotal(worker->reserved.memoryMegabytes(), worker->capacity.memoryMegabytes()),
+                        usedOfTotal(worker->reserved.accelerators(), worker->capacity.accelerators())});
     }
     printTable(out, rows);
 }
--- a/paddlepier/cli/tables.h
+++ b/paddlepier/cli/tables.h
@@ -1,6 +1,6 @@
-// Text tables of the command line.
+// Prints replies as text tables on the command line.
 //
-// Thread safety: free functions without state.
+// Thread safety: stateless free functions.
 
 #ifndef PADDLEPIER_CLI_TABLES_H
 #define PADDLEPIER_CLI_TABLES_H
@@ -14,7 +14,7 @@
 namespace paddlepier::cli
 {
 
-/** Rows of equal length, the first one being the heading; columns are as wide as their widest cell. */
+/** Prints rows of equal length, of which the first is the heading. Each column is as wide as its widest cell. */
 void printTable(std::ostream &out, const std::vector<std::vector<std::string>> &rows);
 
 void printStatus(std::ostream &out, const wire::StatusReplyT &reply);
