--- a/paddlepier/cluster/advicecallerpool.cpp
+++ b/paddlepier/cluster/advicecallerpool.cpp
@@ -1,4 +1,4 @@
-// Shares questions to the policy service out over the instances.
+// Distributes requests to the policy service over the instances.
 
 #include "paddlepier/cluster/advicecallerpool.h"
 
@@ -12,16 +12,16 @@
 namespace
 {
 
-/** Instances show themselves every 300 ms; one that missed two isn't given questions. */
-constexpr Duration aliveFor = absl::Milliseconds(800);
+/** Instances report their presence every 300 ms; one that missed two reports gets no requests. */
+constexpr Duration livenessTimeout = absl::Milliseconds(800);
 
-/** Of four callers one is kept for short questions, rounded up. */
-constexpr std::size_t shortOnlyShare = 4;
+/** One of this many callers is reserved for short requests, rounded up. */
+constexpr std::size_t callersPerShortOnly = 4;
 
-/** Longest time that a question may wait behind others: about half of a long one. */
-constexpr Duration longestWait = absl::Milliseconds(250);
+/** Longest time that a request may queue behind others: about half the cost of a long one. */
+constexpr Duration maxQueueingTime = absl::Milliseconds(250);
 
-constexpr Duration avoidedAfterFailure = absl::Seconds(1);
+constexpr Duration failureAvoidanceTime = absl::Seconds(1);
 
 } // namespace
 
@@ -33,16 +33,16 @@
 template<typename Visit>
 void AdviceCallerPool::forEachAvailable(Timestamp now, bool isLong, Visit visit) const
 {
-    const auto isAlive = [now](const auto &entry) { return now - entry.second.lastSeenAt < aliveFor; };
+    const auto isAlive = [now](const auto &entry) { return now - entry.second.lastSeenAt < livenessTimeout; };
     const auto alive = static_cast<std::size_t>(std::count_if(this->callers.begin(), this->callers.end(), isAlive));
-    const std::size_t shortOnly = alive > 1 ? (alive + shortOnlyShare - 1) / shortOnlyShare : 0;
+    const std::size_t shortOnly = alive > 1 ? (alive + callersPerShortOnly - 1) / callersPerShortOnly : 0;
     std::size_t number = 0;
     for (const auto &[name, caller] : this->callers) {
-        if (now - caller.lastSeenAt >= aliveFor || caller.avoidedUntil > now) {
+        if (now - caller.lastSeenAt >= livenessTimeout || caller.avoidedUntil > now) {
             continue;
         }
         const bool isShortOnly = number++ < shortOnly;
-        if (!(isLong && isShortOnly) && caller.busyUntil <= now + longestWait) {
+        if (!(isLong && isShortOnly) && caller.busyUntil <= now + maxQueueingTime) {
             visit(name, caller);
         }
     }
@@ -59,7 +59,7 @@
 {
     Duration time;
     this->forEachAvailable(
-        now, false, [now, &time](const std::string &, const Caller &caller) { time += now + longestWait - std::max(now, caller.busyUntil); });
+        now, false, [now, &time](const std::string &, const Caller &caller) { time += now + maxQueueingTime - std::max(now, caller.busyUntil); });
     return time;
 }
 
@@ -92,7 +92,7 @@
 
 void AdviceCallerPool::recordFailure(Timestamp now, const std::string &instance)
 {
-    this->callers[instance].avoidedUntil = now + avoidedAfterFailure;
+    this->callers[instance].avoidedUntil = now + failureAvoidanceTime;
 }
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/advicecallerpool.h
+++ b/paddlepier/cluster/advicecallerpool.h
@@ -1,9 +1,9 @@
-// Shares questions to the policy service out over the instances that can ask it.
+// Distributes requests to the policy service over the instances that can call it.
 //
-// The service takes one call at a time from each caller, so that a question waits behind the earlier ones of the same
-// caller. Long questions are kept off some of the callers, so that short ones need not wait behind them.
+// The service handles one call at a time from each caller, so that a request queues behind earlier ones of the same
+// caller. Long requests are kept off some of the callers, so that short requests don't queue behind them.
 //
-// Thread safety: none; owned by the control thread. choose() is O(callers).
+// Thread safety: none; owned by the control thread. Cost: assignCaller() is O(callers).
 
 #ifndef PADDLEPIER_CLUSTER_ADVICECALLERPOOL_H
 #define PADDLEPIER_CLUSTER_ADVICECALLERPOOL_H
@@ -18,29 +18,28 @@
 {
 
 struct AssignedCaller {
-    /** Empty if no caller is to be had. */
+    /** Empty if no caller is available. */
     std::string instance;
-    /** When the answer is to be expected, the questions before it included. */
+    /** When the answer is expected, including the time of requests queued before it. */
     Timestamp expectedAt;
 };
 
 class AdviceCallerPool
 {
 public:
-    /** An instance has shown that it is there. */
     void markAlive(Timestamp now, const std::string &instance);
     /**
-     * Caller on which a question of this cost ends first; its time is taken there. Empty if it would wait for long behind
-     * others on each of them: a question that is answered too late only delays the next.
+     * Picks the caller on which a request of this cost ends first, and books the time there. The result is empty if the request would queue
+     * behind others for too long on every caller: an answer that comes too late only delays the next request.
      */
     AssignedCaller assignCaller(Timestamp now, Duration cost);
-    /** Callers that would take a long question now. */
+    /** Number of callers that accept a long request now. */
     std::size_t availableForLong(Timestamp now) const;
-    /** Time of the policy service that short questions may take now, without waiting for long, over all callers together. */
+    /** Time of the policy service that is available to short requests without long queueing, summed over all callers. */
     Duration timeAvailableForShort(Timestamp now) const;
-    /** A question has ended, early or late: corrects the caller's expected time. */
+    /** Corrects the caller's expected time after a request ended earlier or later than expected. */
     void recordCompletion(Timestamp now, const std::string &instance, Duration cost);
-    /** A question wasn't answered: the caller gets no others for a while. */
+    /** Excludes a caller that left a request unanswered from new requests for a while. */
     void recordFailure(Timestamp now, const std::string &instance);
 
 private:
@@ -51,7 +50,7 @@
         int inFlight = 0;
     };
 
-    /** Calls @p visit(name, caller) for each that would take a question now. */
+    /** Calls @p visit(name, caller) for each caller that accepts a request now. */
     template<typename Visit>
     void forEachAvailable(Timestamp now, bool isLong, Visit visit) const;
 
--- a/paddlepier/cluster/advicecallerpool_test.cpp
+++ b/paddlepier/cluster/advicecallerpool_test.cpp
@@ -1,4 +1,5 @@
-// Sharing of questions over callers.
+// Distribution of advice requests over callers. Without the reserved callers, short requests queue behind long ones and
+// are answered too late; a caller that is gone or failed must get no requests.
 
 #include "paddlepier/cluster/advicecallerpool.h"
 
@@ -10,10 +11,10 @@
 namespace
 {
 
-class AdviceCallersFixture
+class AdviceCallerPoolFixture
 {
 public:
-    AdviceCallersFixture()
+    AdviceCallerPoolFixture()
     {
         for (const char *name : {"a", "b", "c", "d"}) {
             this->callers.markAlive(this->now, name);
@@ -26,19 +27,19 @@
 
 } // namespace
 
-TEST_CASE_METHOD(AdviceCallersFixture, "choose_allCallersBusyForLong_isNobody")
+TEST_CASE_METHOD(AdviceCallerPoolFixture, "assignCaller_allCallersBusyTooLong_returnsNone")
 {
-    int taken = 0;
-    while (taken < 100 && !this->callers.assignCaller(this->now, absl::Milliseconds(500)).instance.empty()) {
-        ++taken;
+    int accepted = 0;
+    while (accepted < 100 && !this->callers.assignCaller(this->now, absl::Milliseconds(500)).instance.empty()) {
+        ++accepted;
     }
-    // Three of the four callers take long questions, one each: a second would wait for half a second.
-    CHECK(taken == 3);
+    // Three of the four callers accept long requests, one each: a second one would queue for half a second.
+    CHECK(accepted == 3);
     CHECK_FALSE(this->callers.assignCaller(this->now, absl::Milliseconds(20)).instance.empty());
     CHECK_FALSE(this->callers.assignCaller(this->now + absl::Milliseconds(400), absl::Milliseconds(500)).instance.empty());
 }
 
-TEST_CASE_METHOD(AdviceCallersFixture, "freeForLong_isAsManyAsWouldTakeALongQuestion")
+TEST_CASE_METHOD(AdviceCallerPoolFixture, "availableForLong_busyOrFailedCallers_countsOnlyCallersAcceptingLongRequests")
 {
     CHECK(this->callers.availableForLong(this->now) == 3);
     const std::string busy = this->callers.assignCaller(this->now, absl::Milliseconds(500)).instance;
@@ -49,7 +50,7 @@
     CHECK(this->callers.availableForLong(this->now + absl::Seconds(5)) == 0);
 }
 
-TEST_CASE_METHOD(AdviceCallersFixture, "choose_callerNotSeenForLong_isAnother")
+TEST_CASE_METHOD(AdviceCallerPoolFixture, "assignCaller_callersNotSeenRecently_usesOnlyReachableOne")
 {
     this->now += absl::Seconds(5);
     CHECK(this->callers.assignCaller(this->now, absl::Milliseconds(20)).instance.empty());
@@ -57,7 +58,7 @@
     CHECK(this->callers.assignCaller(this->now, absl::Milliseconds(20)).instance == "c");
 }
 
-TEST_CASE_METHOD(AdviceCallersFixture, "choose_callerThatFailed_isAnotherForAWhile")
+TEST_CASE_METHOD(AdviceCallerPoolFixture, "assignCaller_afterFailure_avoidsThatCaller")
 {
     const std::string first = this->callers.assignCaller(this->now, absl::Milliseconds(20)).instance;
     this->callers.recordCompletion(this->now, first, absl::Milliseconds(20));
--- a/paddlepier/cluster/announcementfault.cpp
+++ b/paddlepier/cluster/announcementfault.cpp
@@ -1,4 +1,4 @@
-// Why a worker's announcement isn't believed.
+// Reasons for refusing a worker's announcement.
 
 #include "paddlepier/cluster/announcementfault.h"
 
@@ -16,17 +16,17 @@
 namespace
 {
 
-/** Names of workers, services and data centres are a few characters long; what is longer is no name, and would be kept in every replica. */
-constexpr std::size_t longestName = 256;
+/** Names of workers, services and data centres have a few characters. A longer text is no name, and would be stored in every replica. */
+constexpr std::size_t maxNameLength = 256;
 
-/** Labels that one worker has: its kind and its rack; room for others. */
-constexpr std::size_t mostLabels = 64;
+/** A worker has a label for its kind and one for its rack; the rest of the bound is left for others. */
+constexpr std::size_t maxLabels = 64;
 
-/** A number that every writer of JSON gives exactly: 2^53 - 1. */
-constexpr std::uint64_t mostSequence = 9'007'199'254'740'991;
+/** 2^53 - 1: the largest integer that every JSON writer represents exactly. */
+constexpr std::uint64_t maxSequence = 9'007'199'254'740'991;
 
-/** Enough to find the sender; the id comes from outside and may be of any length. */
-constexpr std::size_t mostLoggedCharacters = 64;
+/** Enough to identify the sender; the id comes from outside and may have any length. */
+constexpr std::size_t maxLoggedCharacters = 64;
 
 } // namespace
 
@@ -51,18 +51,19 @@
 void checkAnnouncement(const work::AnnounceCallT &call)
 {
     const work::RegisterWorkerT &worker = *call.registration;
-    const auto isName = [](const std::string &text) { return !text.empty() && text.size() <= longestName; };
+    const auto isName = [](const std::string &text) { return !text.empty() && text.size() <= maxNameLength; };
     const auto require = [](bool holds, const char *problem) {
         if (!holds) {
             throw InvalidAnnouncementError(AnnouncementFault::FieldInvalid, problem);
         }
     };
-    require(isName(worker.id), "id: not from 1 to 256 characters");
-    require(isName(worker.service), "service: not from 1 to 256 characters");
-    require(isName(worker.zone), "zone: not from 1 to 256 characters");
-    require(isName(worker.address) && Endpoint::parse(worker.address).has_value(), "address: not a host and a port");
-    require(worker.labels.size() <= mostLabels && std::all_of(worker.labels.begin(), worker.labels.end(), isName), "labels: not a short list of names");
-    require(call.sequence <= mostSequence, "sequence: over 2^53 - 1");
+    require(isName(worker.id), "id: must have from 1 to 256 characters");
+    require(isName(worker.service), "service: must have from 1 to 256 characters");
+    require(isName(worker.zone), "zone: must have from 1 to 256 characters");
+    require(isName(worker.address) && Endpoint::parse(worker.address).has_value(), "address: must be host:port of at most 256 characters");
+    require(worker.labels.size() <= maxLabels && std::all_of(worker.labels.begin(), worker.labels.end(), isName),
+            "labels: must be at most 64 names of 1 to 256 characters");
+    require(call.sequence <= maxSequence, "sequence: exceeds the maximum of 2^53 - 1");
 }
 
 void reportRefusedAnnouncement(Counters &counters, const std::string &worker, AnnouncementFault fault, const std::string &problem)
@@ -70,7 +71,7 @@
     counters.counter(absl::StrCat("announcements_refused_total{reason=\"", nameOf(fault), "\"}")).add();
     log::warning("workers",
                  "announcement.refused",
-                 {{"worker", worker.substr(0, mostLoggedCharacters)}, {"reason", nameOf(fault)}, {"problem", problem.substr(0, mostLoggedCharacters)}});
+                 {{"worker", worker.substr(0, maxLoggedCharacters)}, {"reason", nameOf(fault)}, {"problem", problem.substr(0, maxLoggedCharacters)}});
 }
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/announcementfault.h
+++ b/paddlepier/cluster/announcementfault.h
@@ -1,7 +1,8 @@
-// Why a worker's announcement isn't believed.
+// Reasons for refusing a worker's announcement.
 //
-// Announcements come from outside, and some from other writers than workers. One with a fault changes nothing: no worker is
-// added, changed, drained or removed by it. Its sender gets a typed refusal, and a counter for each fault tells how many came.
+// Announcements come from outside, and some from senders that aren't workers. A faulty one changes nothing: it neither
+// adds, changes, drains nor removes a worker. Its sender gets a typed refusal, and a counter for each fault counts the
+// refusals.
 //
 // Example:
 //     throw InvalidAnnouncementError(AnnouncementFault::FieldMissing, "state: missing");
@@ -21,17 +22,17 @@
 {
 
 enum class AnnouncementFault {
-    /** The bytes are no record at all. */
+    /** The body can't be parsed. */
     Unreadable,
     FieldMissing,
-    /** A field is of another type or out of its range. */
+    /** A field has the wrong type or is out of range. */
     FieldInvalid,
     UnknownState,
-    /** The configuration in force names no such service. */
+    /** The active configuration has no such service. */
     UnknownService,
-    /** Far beyond what one life of a worker can have counted since its last announcement. */
+    /** Far above what one incarnation of a worker can have counted since its last announcement. */
     ImplausibleSequence,
-    /** Its sender was born in the future. */
+    /** The reported start of the sender is in the future. */
     ImplausibleBirth
 };
 const char *nameOf(AnnouncementFault fault);
@@ -48,9 +49,9 @@
 };
 
 /**
- * What @p read gives.
+ * Returns the result of @p read.
  *
- * @throws InvalidAnnouncementError with the fault that its failure stands for
+ * @throws InvalidAnnouncementError with the fault that matches the error thrown by @p read
  */
 template<typename Read>
 auto readAnnouncement(Read read)
@@ -66,10 +67,10 @@
     }
 }
 
-/** @throws InvalidAnnouncementError if a name, the address or the number of an announcement can't be a worker's */
+/** @throws InvalidAnnouncementError if a name, the address, a label or the sequence number of an announcement is invalid */
 void checkAnnouncement(const work::AnnounceCallT &call);
 
-/** Counts a refused announcement, and writes one line about it. */
+/** Counts a refused announcement and logs it. */
 void reportRefusedAnnouncement(Counters &counters, const std::string &worker, AnnouncementFault fault, const std::string &problem);
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/authentication.cpp
+++ b/paddlepier/cluster/authentication.cpp
@@ -1,4 +1,4 @@
-// Who a caller is, and which jobs it may see.
+// Authenticates callers and decides which jobs they may see.
 
 #include "paddlepier/cluster/authentication.h"
 
--- a/paddlepier/cluster/authentication.h
+++ b/paddlepier/cluster/authentication.h
@@ -1,9 +1,11 @@
-// Who a caller is, and which jobs it may see.
+// Authenticates callers and decides which jobs they may see.
 //
-// The leader decides with the configuration that it holds, so that a key is good, or no longer good, everywhere from the entry
-// that says so. Whether callers need keys at all is a setting of the deployment: without it every caller is served.
+// The leader decides, using the configuration in its ledger: a key becomes valid or invalid everywhere with the ledger
+// entry that adds or removes it. Whether callers need keys at all is a setting of the deployment; without it every
+// caller is served.
 //
-// On a public queue no key is needed; one that is shown and known makes a job its team's. Everybody may see a public queue's jobs.
+// A public queue needs no key; a valid key that is sent nevertheless assigns the job to its team. Every caller may see
+// the jobs of a public queue.
 //
 // Example:
 //     const std::optional<std::string> team = authenticate(state.teams(), queue, call.key, CallerKeys::Required);
@@ -24,13 +26,13 @@
 namespace paddlepier::cluster
 {
 
-/** What callers have to show. */
+/** Whether callers must authenticate. */
 enum class CallerKeys { Ignored, Required };
 
-/** @return the caller's team, empty if it needs none; nothing if the queue asks for a key and @p key is no team's */
+/** @return the caller's team, empty if it needs none; nothing if the queue requires a key and @p key belongs to no team */
 std::optional<std::string> authenticate(const workload::Teams &teams, const work::QueueSpecT &queue, const std::string &key, CallerKeys keys);
 
-/** A job of a team is shown to that team alone, unless its queue is public. */
+/** A job that belongs to a team is visible to that team only, unless its queue is public. */
 bool canView(const workload::Job &job, const work::QueueSpecT &queue, const std::string &team);
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/authentication_test.cpp
+++ b/paddlepier/cluster/authentication_test.cpp
@@ -1,4 +1,4 @@
-// Who a caller is, and which jobs it may see.
+// Authentication of callers, and visibility of jobs.
 
 #include "paddlepier/cluster/authentication.h"
 
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(AuthenticationFixture, "caller_whereKeysAreRequired_needsATeamsKey")
+TEST_CASE_METHOD(AuthenticationFixture, "authenticate_keysRequired_acceptsOnlyTeamKeys")
 {
     CHECK(authenticate(this->teams, this->closed, "key-red", CallerKeys::Required) == "red");
     CHECK_FALSE(authenticate(this->teams, this->closed, "key-green", CallerKeys::Required));
@@ -45,20 +45,20 @@
     CHECK_FALSE(authenticate(workload::Teams(), this->closed, "key-red", CallerKeys::Required));
 }
 
-TEST_CASE_METHOD(AuthenticationFixture, "caller_ofAPublicQueue_needsNoKey")
+TEST_CASE_METHOD(AuthenticationFixture, "authenticate_publicQueue_needsNoKey")
 {
     CHECK(authenticate(this->teams, this->open, "", CallerKeys::Required) == "");
     CHECK(authenticate(this->teams, this->open, "key-green", CallerKeys::Required) == "");
     CHECK(authenticate(this->teams, this->open, "key-blue", CallerKeys::Required) == "blue");
 }
 
-TEST_CASE_METHOD(AuthenticationFixture, "caller_whereKeysAreIgnored_isServedAsOfNoTeam")
+TEST_CASE_METHOD(AuthenticationFixture, "authenticate_keysIgnored_servesCallerWithoutTeam")
 {
     CHECK(authenticate(this->teams, this->closed, "key-red", CallerKeys::Ignored) == "");
     CHECK(authenticate(this->teams, this->closed, "", CallerKeys::Ignored) == "");
 }
 
-TEST_CASE_METHOD(AuthenticationFixture, "job_ofATeam_isSeenByThatTeamAlone")
+TEST_CASE_METHOD(AuthenticationFixture, "canView_jobOfTeam_onlyThatTeamUnlessQueueIsPublic")
 {
     CHECK(canView(this->jobOf("red"), this->closed, "red"));
     CHECK_FALSE(canView(this->jobOf("red"), this->closed, "blue"));
--- a/paddlepier/cluster/coreprocess.cpp
+++ b/paddlepier/cluster/coreprocess.cpp
@@ -21,28 +21,28 @@
 constexpr Duration tickInterval = absl::Milliseconds(20);
 
 /**
- * Heartbeats between cores, and the shortest silence after which a leader is taken to be gone: four heartbeats, far above
- * a round trip between the data centres of a region (some milliseconds) and a core's pause where its share is a quota (100 ms).
+ * Heartbeats between cores, and the shortest silence after which a leader counts as lost. Four heartbeats are far above a round trip
+ * between the data centres of a region (some milliseconds) and above the pause of a core that is throttled by a CPU quota (100 ms).
  */
 constexpr Duration heartbeatInterval = absl::Milliseconds(75);
-constexpr Duration electionSilence = absl::Milliseconds(300);
+constexpr Duration leaderTimeout = absl::Milliseconds(300);
 
-/** A voter that has been silent for this long may be replaced: longer than a process takes to restart. */
-constexpr Duration voterSilence = absl::Milliseconds(2500);
+/** A voter that is unresponsive for this long may be replaced; it is longer than the restart of a process. */
+constexpr Duration voterReplacementDelay = absl::Milliseconds(2500);
 
-/** Longest wait of a planned stop for another leader and for calls under way. */
-constexpr Duration stopPatience = absl::Seconds(2);
+/** Longest wait of a graceful stop for another leader and for pending calls. */
+constexpr Duration stopTimeout = absl::Seconds(2);
 
 constexpr Duration loadReportInterval = absl::Seconds(1);
 
-/** How often a core shows itself to the leader, and how long it waits for the answer. */
+/** Interval at which a core reports its presence to the leader, and the timeout of that call. */
 constexpr Duration presenceInterval = absl::Milliseconds(200);
-constexpr Duration presencePatience = absl::Milliseconds(600);
+constexpr Duration presenceTimeout = absl::Milliseconds(600);
 
-/** How often announcements that were answered here are told to the leader, who takes a worker for lost after many seconds. */
-constexpr Duration heartbeatsInterval = absl::Milliseconds(500);
-/** A core that hasn't heard from the leader for two of its own intervals may be behind, and leaves announcements to the leader. */
-constexpr Duration leaderHeardWithin = absl::Milliseconds(500);
+/** Interval at which absorbed announcements are reported to the leader, which declares a worker lost only after many seconds. */
+constexpr Duration heartbeatBatchInterval = absl::Milliseconds(500);
+/** A core without an answer from the leader for two presence intervals may have stale state, and passes announcements on to the leader. */
+constexpr Duration leaderContactTimeout = absl::Milliseconds(500);
 
 replication::GroupOptions groupOptions(const MemberOptions &member, const CoreOptions &core)
 {
@@ -54,9 +54,9 @@
     options.mayBootstrap = core.mayForm;
     options.acceptsNewInstances = true;
     options.admission.maxVoters = core.voters;
-    options.admission.voterTimeout = voterSilence;
+    options.admission.voterTimeout = voterReplacementDelay;
     options.heartbeatInterval = heartbeatInterval;
-    options.electionTimeout = electionSilence;
+    options.electionTimeout = leaderTimeout;
     options.driftPerMille = member.settings.timing.driftPerMille;
     return options;
 }
@@ -131,20 +131,20 @@
         return;
     }
     this->nextLoadReport = now + loadReportInterval;
-    const ControlThreadTimes whole{this->stepTimes.sum(), this->eventTimes.sum(), this->dispatchTimes.sum(), this->ledgerTimes.sum(), this->stepTimes.count()};
+    const ControlThreadTimes total{this->stepTimes.sum(), this->eventTimes.sum(), this->dispatchTimes.sum(), this->ledgerTimes.sum(), this->stepTimes.count()};
     const ControlThreadTimes &last = this->reportedLoad;
     log::info("cluster",
               "service.load",
-              {{"steps", whole.stepCount - last.stepCount},
-               {"stepMillis", absl::ToInt64Milliseconds(whole.steps - last.steps)},
-               {"eventMillis", absl::ToInt64Milliseconds(whole.events - last.events)},
-               {"dispatchMillis", absl::ToInt64Milliseconds(whole.dispatch - last.dispatch)},
-               {"ledgerMillis", absl::ToInt64Milliseconds(whole.ledger - last.ledger)},
+              {{"steps", total.stepCount - last.stepCount},
+               {"stepMillis", absl::ToInt64Milliseconds(total.steps - last.steps)},
+               {"eventMillis", absl::ToInt64Milliseconds(total.events - last.events)},
+               {"dispatchMillis", absl::ToInt64Milliseconds(total.dispatch - last.dispatch)},
+               {"ledgerMillis", absl::ToInt64Milliseconds(total.ledger - last.ledger)},
                {"asked", this->pendingReplies.size()}});
-    this->reportedLoad = whole;
+    this->reportedLoad = total;
 }
 
-void CoreProcess::advance(Timestamp now, Timestamp seenUntil)
+void CoreProcess::advance(Timestamp now, Timestamp processedUntil)
 {
     if (now >= this->nextTick) {
         this->nextTick = now + tickInterval;
@@ -152,11 +152,11 @@
         for (const std::string &instance : this->node->knownInstances()) {
             this->leader->addCore(instance);
         }
-        this->expireReplies(seenUntil);
-        this->orderRelay.tick(seenUntil);
+        this->expireReplies(processedUntil);
+        this->orderRelay.tick(processedUntil);
     }
     const bool isServing = this->node->isServing(now);
-    // A group that is still forming has nobody to hand over to.
+    // A group that is still forming has no other replica to take over.
     if (this->servingWatchdog.update(now, this->node->replica().isLeader() && this->node->state().hasHistory(), isServing)) {
         this->node->transferLeadership(now);
     }
@@ -165,11 +165,11 @@
         this->sendPresence(now);
     }
     if (!this->heartbeats.isEmpty() && now >= this->nextHeartbeats) {
-        this->nextHeartbeats = now + heartbeatsInterval;
-        // What is lost on its way is made good by the worker's next announcement.
-        this->leader->call(now, WorkMethod::Heartbeats, wire::pack(this->heartbeats.drain()), presencePatience, [](const CallResult &) {});
+        this->nextHeartbeats = now + heartbeatBatchInterval;
+        // A batch that gets lost is made up for by the workers' next announcements.
+        this->leader->call(now, WorkMethod::Heartbeats, wire::pack(this->heartbeats.drain()), presenceTimeout, [](const CallResult &) {});
     }
-    // Without the lease another leader may be at work: nothing is ordered until it is certain again.
+    // Without the lease another leader may be active: no orders are sent until this replica holds the lease again.
     if (this->service && this->node->isServing(now)) {
         this->callers.markAlive(now, this->options.settings.id);
         const ScopeTimer timer(this->dispatchTimes);
@@ -203,7 +203,7 @@
 {
     const std::optional<WorkMethod> method = workMethodFromName(request.method);
     if (!method) {
-        throw UnknownRouteError(absl::StrCat("no call ", request.method));
+        throw UnknownRouteError(absl::StrCat("unknown call ", request.method));
     }
     if (*method == WorkMethod::Advise) {
         this->answerAdviceCall(fromInstance, request);
@@ -221,7 +221,7 @@
     });
 }
 
-void CoreProcess::callLeader(Timestamp now, WorkMethod method, std::string body, Duration patience, CallDone done)
+void CoreProcess::callLeader(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallDone done)
 {
     if (this->service && this->node->isServing(now)) {
         try {
@@ -241,12 +241,12 @@
         done(result);
         return;
     }
-    this->leader->call(now, method, std::move(body), patience, std::move(done));
+    this->leader->call(now, method, std::move(body), timeout, std::move(done));
 }
 
 bool CoreProcess::absorbHeartbeat(Timestamp now, WorkMethod method, const std::string &body)
 {
-    if (method != WorkMethod::Announce || this->service || this->isStopping() || now - this->leader->lastAnswerAt() > leaderHeardWithin) {
+    if (method != WorkMethod::Announce || this->service || this->isStopping() || now - this->leader->lastAnswerAt() > leaderContactTimeout) {
         return false;
     }
     return this->heartbeats.absorb(this->node->state(), wire::unpack<work::AnnounceCallT>(body));
@@ -260,9 +260,9 @@
     return id;
 }
 
-void CoreProcess::expireReplies(Timestamp seenUntil)
+void CoreProcess::expireReplies(Timestamp processedUntil)
 {
-    while (const std::optional<std::uint64_t> id = this->replyTimers.popExpired(seenUntil)) {
+    while (const std::optional<std::uint64_t> id = this->replyTimers.popExpired(processedUntil)) {
         if (const auto question = this->pendingReplies.extract(*id)) {
             question.mapped()(nullptr);
         }
@@ -277,7 +277,7 @@
     request.method = nameOf(method);
     request.body = wire::toBytes(body);
     if (instance == this->options.settings.id) {
-        // The same way as for others, so that a question ends by its deadline here too.
+        // Local requests take the same path as remote ones, so that their deadline is enforced here too.
         this->receiveCall(instance, request);
         return;
     }
@@ -319,15 +319,15 @@
     ways.sendVia =
         [this](const std::string &instance, const execution::WorkerCall &call, Timestamp deadline, const std::function<void(const RelayResult &)> &done) {
             this->callInstance(instance, WorkMethod::Carry, wire::pack(encodeRelayCall(call)), deadline, [done](const wire::CallReplyT *reply) {
-                RelayResult carried;
+                RelayResult relayed;
                 if (reply != nullptr && reply->error == ErrorCode::NotLeader) {
-                    carried.outcome = RelayOutcome::Declined;
+                    relayed.outcome = RelayOutcome::Declined;
                 } else if (reply != nullptr) {
-                    carried.outcome = RelayOutcome::Answered;
-                    carried.answer =
+                    relayed.outcome = RelayOutcome::Answered;
+                    relayed.answer =
                         reply->error == ErrorCode::None ? decodeRelayReply(wire::unpack<work::CarryReplyT>(reply->body)) : execution::WorkerAnswer();
                 }
-                done(carried);
+                done(relayed);
             });
         };
     ways.runAt = [this](Timestamp at, const std::function<void()> &action) { this->expectReply(at, [action](const wire::CallReplyT *) { action(); }); };
@@ -374,7 +374,7 @@
 void CoreProcess::recordCore(Timestamp now, const std::string &instance, const wire::CallRequestT &request)
 {
     const std::vector<std::string> cores = this->node->knownInstances();
-    // It may have shown itself to itself before it led.
+    // Its own presence report, sent before it became leader, may arrive here.
     if (instance != this->options.settings.id && std::find(cores.begin(), cores.end(), instance) != cores.end()) {
         const auto call = wire::unpack<work::PresenceCallT>(wire::toString(request.body));
         this->dataCentres[instance] = call.zone;
@@ -388,7 +388,7 @@
     work::PresenceCallT call;
     call.zone = this->options.zone;
     call.incarnation = this->incarnation;
-    this->leader->call(now, WorkMethod::Presence, wire::pack(call), presencePatience, [](const CallResult &) {});
+    this->leader->call(now, WorkMethod::Presence, wire::pack(call), presenceTimeout, [](const CallResult &) {});
 }
 
 void CoreProcess::receiveReply(const std::string &fromInstance, const wire::CallReplyT &reply)
@@ -403,7 +403,7 @@
     try {
         done(&reply);
     } catch (const Error &error) {
-        // Only reading the answer fails, before anything has come of it: it counts as none.
+        // Only decoding the answer can fail, before it has any effect: it counts as no answer.
         log::warning("cluster", "answer.unreadable", {{"from", fromInstance}, {"error", paddlepier::nameOf(error.code())}, {"message", error.what()}});
         done(nullptr);
     }
@@ -411,13 +411,13 @@
 
 void CoreProcess::stopGracefully()
 {
-    const Timestamp end = controlNow() + stopPatience;
+    const Timestamp end = controlNow() + stopTimeout;
     this->node->transferLeadership(controlNow());
-    const auto isOver = [this] {
+    const auto hasHandedOver = [this] {
         const bool hasOtherLeader = !this->node->replica().isLeader() && !this->node->replica().leader().empty();
         return hasOtherLeader && this->leader->pendingCalls() == 0 && this->relayedCalls == 0;
     };
-    while (controlNow() < end && !isOver()) {
+    while (controlNow() < end && !hasHandedOver()) {
         this->step(tickInterval);
     }
     log::info("cluster", "stopped", {{"instance", this->options.settings.id}, {"calls", this->leader->pendingCalls()}});
--- a/paddlepier/cluster/coreprocess.h
+++ b/paddlepier/cluster/coreprocess.h
@@ -1,4 +1,4 @@
-// Process on a core machine: a replica of the workload ledger, and the leader's work while it leads.
+// Process on a core machine: a replica of the workload ledger, and the leader's service while this replica leads.
 //
 // Thread safety: as MemberProcess.
 
@@ -26,13 +26,13 @@
 
 struct CoreOptions {
     WorkOptions work;
-    /** The deployment starts for the first time: the replicas on the seeds form the group. */
+    /** First start of the deployment: the replicas on the seeds form the group. */
     bool mayForm = false;
-    /** Votes: twice the lost disks that must be borne, and one. */
+    /** Number of voters: twice the number of tolerated disk losses, plus one. */
     std::size_t voters = 3;
 };
 
-/** Sums of what the control thread has spent its time on, and how many steps and events that were. */
+/** Cumulative time of the control thread by activity, and the number of its steps. */
 struct ControlThreadTimes {
     Duration steps;
     Duration events;
@@ -44,40 +44,40 @@
 class CoreProcess : public MemberProcess
 {
 public:
-    /** Opens the data folder. @throws any Error that makes the process unable to start */
+    /** Opens the data folder. @throws Error of the kind that prevents the process from starting */
     CoreProcess(MemberOptions memberOptions, CoreOptions coreOptions, WorkerPort workerPort, AdvicePort advicePort);
     ~CoreProcess() override;
 
 protected:
-    void advance(Timestamp now, Timestamp seenUntil) override;
+    void advance(Timestamp now, Timestamp processedUntil) override;
     void receiveCall(const std::string &fromInstance, const wire::CallRequestT &request) override;
     void receiveReply(const std::string &fromInstance, const wire::CallReplyT &answer) override;
     void receiveFrame(wire::PeerFrameT frame) override;
-    void callLeader(Timestamp now, WorkMethod method, std::string body, Duration patience, CallDone done) override;
+    void callLeader(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallDone done) override;
     void stopGracefully() override;
 
 private:
     void updateService(Timestamp now);
-    /** Tells once a second what the leader's time goes into. */
+    /** Logs once a second how the leader's control thread spends its time. */
     void reportLoad(Timestamp now);
     void handleAsLeader(Timestamp now, const std::string &fromInstance, WorkMethod method, const std::string &body, const CallDone &done);
-    /** Shows a core that doesn't lead to the leader: it may ask for advice and carry orders. */
+    /** Reports this core to the leader, which may then use it for advice requests and as a relay. */
     void sendPresence(Timestamp now);
-    /** An announcement that tells nothing new may be answered here. */
+    /** Answers an announcement that contains nothing new on behalf of the leader. @return false if the leader must handle it */
     bool absorbHeartbeat(Timestamp now, WorkMethod method, const std::string &body);
-    /** A core has shown itself to this one, which may lead. */
+    /** Records the presence of another core, which this process may use while it leads. */
     void recordCore(Timestamp now, const std::string &instance, const wire::CallRequestT &request);
-    /** Brings an order to its worker, by itself or through another core. */
+    /** Sends an order to its worker, directly or through another core. */
     void sendOrder(const execution::WorkerCall &call, std::function<void(execution::WorkerAnswer)> done);
     RelayHooks relayHooks();
     WatchHooks watchHooks();
-    /** Carries an order of the leader out. */
+    /** Sends an order to a worker on behalf of the leader. */
     void executeRelayedOrder(const std::string &fromInstance, const wire::CallRequestT &request);
-    /** Ends requests whose replies were due by @p seenUntil. */
-    void expireReplies(Timestamp seenUntil);
-    /** @return the id of a request whose reply, or none by @p deadline, is given to @p done */
+    /** Completes requests without a reply whose deadline isn't after @p processedUntil. */
+    void expireReplies(Timestamp processedUntil);
+    /** Registers @p done for the reply to a request; it is called without a reply at @p deadline. @return the id of the request */
     std::uint64_t expectReply(Timestamp deadline, std::function<void(const wire::CallReplyT *)> done);
-    /** Sends a request to an instance, this one included; @p done is called once, with nothing if no answer came by @p deadline. */
+    /** Sends a request to an instance, which may be this one. @p done is called exactly once, without a reply if none came by @p deadline. */
     void callInstance(
         const std::string &instance, WorkMethod method, const std::string &body, Timestamp deadline, std::function<void(const wire::CallReplyT *)> done);
     void requestAdviceVia(const std::string &instance, const work::AdviceCallT &call, Timestamp deadline, std::function<void(execution::AdviceAnswer)> done);
@@ -92,17 +92,17 @@
     consensus::Term serviceTerm = 0;
     AdviceCallerPool callers;
     OrderRelay orderRelay;
-    /** Data centres of the core instances that have shown themselves, and of this one. */
+    /** Data centres of this instance and of the core instances that have reported their presence. */
     std::map<std::string, std::string> dataCentres;
     ServingWatchdog servingWatchdog;
     HeartbeatBatcher heartbeats;
     Timestamp nextHeartbeats = absl::InfinitePast();
     Timestamp nextPresence = absl::InfinitePast();
-    /** Orders of the leader that this core is carrying out. */
+    /** Orders that this core is relaying for the leader. */
     std::size_t relayedCalls = 0;
     WorkerWatch watch;
     std::unordered_map<std::uint64_t, std::function<void(const wire::CallReplyT *)>> pendingReplies;
-    /** When replies are due; what has been answered is in it until then. */
+    /** Deadlines of replies; the entry of an answered request stays until its deadline. */
     execution::TimerQueue<std::uint64_t> replyTimers;
     std::uint64_t nextRequestId;
     const std::uint64_t incarnation;
--- a/paddlepier/cluster/entryprocess.cpp
+++ b/paddlepier/cluster/entryprocess.cpp
@@ -11,21 +11,21 @@
 namespace
 {
 
-/** How often an entry instance shows itself to the leader; the leader counts it as gone after four. */
+/** Interval at which an entry instance reports its presence; the leader regards it as gone after four. */
 constexpr Duration presenceInterval = absl::Milliseconds(200);
-constexpr Duration presencePatience = absl::Milliseconds(1200);
+constexpr Duration presenceTimeout = absl::Milliseconds(1200);
 
 /**
- * Without an answer of a leader for this long, callers are better sent to other instances. The balancer asks every second
- * and takes an instance out after two misses, so that an election, which ends within 1.5 s, costs nothing.
+ * Without an answer of a leader for this long, callers are better served by other instances. The balancer checks every second and removes
+ * an instance after two failed checks, so that an election, which ends within 1.5 s, doesn't remove any.
  */
-constexpr Duration leaderSilence = absl::Milliseconds(550);
+constexpr Duration leaderContactTimeout = absl::Milliseconds(550);
 
-/** The balancer asks every second and takes two misses; after that no new connections come. */
-constexpr Duration stopLead = absl::Milliseconds(2600);
+/** The balancer checks every second and removes an instance after two failed checks; new connections stop after that. */
+constexpr Duration balancerDelay = absl::Milliseconds(2600);
 
-/** Longest wait for answers under way beyond that. */
-constexpr Duration stopPatience = absl::Milliseconds(2000);
+/** Longest wait for pending answers after that. */
+constexpr Duration stopTimeout = absl::Milliseconds(2000);
 
 constexpr Duration stopTick = absl::Milliseconds(20);
 
@@ -43,11 +43,11 @@
 
 void EntryProcess::advance(Timestamp now, Timestamp)
 {
-    // A stopping instance isn't given new work by the leader.
+    // Without presence reports the leader assigns no new work to a stopping instance.
     if (now >= this->nextPresence && !this->isPresencePending && !this->isStopping()) {
         this->sendPresence(now);
     }
-    const bool hasLeader = now - this->leader->lastAnswerAt() < leaderSilence;
+    const bool hasLeader = now - this->leader->lastAnswerAt() < leaderContactTimeout;
     if (hasLeader != this->ready) {
         this->ready = hasLeader;
         log::info("cluster", hasLeader ? "leader.reached" : "leader.lost", {{"instance", this->options.settings.id}});
@@ -60,7 +60,7 @@
     this->isPresencePending = true;
     work::PresenceCallT call;
     call.zone = this->options.zone;
-    this->leader->call(now, WorkMethod::Presence, wire::pack(call), presencePatience, [this](const CallResult &result) {
+    this->leader->call(now, WorkMethod::Presence, wire::pack(call), presenceTimeout, [this](const CallResult &result) {
         this->isPresencePending = false;
         for (const std::string &instance : result.reply.coreInstances) {
             this->leader->addCore(instance);
@@ -85,9 +85,9 @@
 
 void EntryProcess::stopGracefully()
 {
-    const Timestamp lead = controlNow() + stopLead;
-    const Timestamp end = lead + stopPatience;
-    while (controlNow() < lead || (controlNow() < end && this->leader->pendingCalls() > (this->isPresencePending ? 1U : 0U))) {
+    const Timestamp connectionsEnd = controlNow() + balancerDelay;
+    const Timestamp end = connectionsEnd + stopTimeout;
+    while (controlNow() < connectionsEnd || (controlNow() < end && this->leader->pendingCalls() > (this->isPresencePending ? 1U : 0U))) {
         this->step(stopTick);
     }
     log::info("cluster", "stopped", {{"instance", this->options.settings.id}, {"calls", this->leader->pendingCalls()}});
--- a/paddlepier/cluster/entryprocess.h
+++ b/paddlepier/cluster/entryprocess.h
@@ -1,6 +1,8 @@
-// Process on an entry machine: forwards callers' requests to the leader and asks the policy service for it.
+// Process on an entry machine: forwards callers' requests to the leader, and calls the policy service on the leader's
+// behalf.
 //
-// It has no disk and keeps no configuration: the leader knows the queues, so that every instance goes by the newest one.
+// It has no disk and stores no configuration: the leader resolves queues, so that every entry instance follows the
+// newest one.
 //
 // Thread safety: as MemberProcess.
 
@@ -19,7 +21,7 @@
     ~EntryProcess() override;
 
 protected:
-    void advance(Timestamp now, Timestamp seenUntil) override;
+    void advance(Timestamp now, Timestamp processedUntil) override;
     void receiveCall(const std::string &fromInstance, const wire::CallRequestT &request) override;
     void receiveFrame(wire::PeerFrameT frame) override;
     void stopGracefully() override;
--- a/paddlepier/cluster/heartbeatbatcher.cpp
+++ b/paddlepier/cluster/heartbeatbatcher.cpp
@@ -1,4 +1,5 @@
-// Answers announcements of workers that tell nothing new on replicas that don't lead.
+// Answers workers' announcements that contain nothing new on replicas that aren't the leader, and collects them for the
+// leader.
 
 #include "paddlepier/cluster/heartbeatbatcher.h"
 
@@ -13,9 +14,9 @@
 {
     const work::RegisterWorkerT &registration = *call.registration;
     const workload::Worker *known = state.findLatestWorker(registration.id);
-    const bool isHeld = known != nullptr && workload::incarnationOf(known->registration) == workload::incarnationOf(registration)
-                        && workload::isSameRegistration(known->registration, registration);
-    if (!isHeld || registration.isDraining || call.sequence < known->registration.sequence) {
+    const bool isKnown = known != nullptr && workload::incarnationOf(known->registration) == workload::incarnationOf(registration)
+                         && workload::isSameRegistration(known->registration, registration);
+    if (!isKnown || registration.isDraining || call.sequence < known->registration.sequence) {
         return false;
     }
     std::uint64_t &newest = this->sequences[workload::incarnationOf(registration)];
@@ -31,10 +32,10 @@
 work::HeartbeatsCallT HeartbeatBatcher::drain()
 {
     work::HeartbeatsCallT call;
-    for (const auto &[life, sequence] : std::exchange(this->sequences, {})) {
+    for (const auto &[incarnation, sequence] : std::exchange(this->sequences, {})) {
         auto &heartbeat = call.heartbeats.emplace_back(std::make_unique<work::HeartbeatT>());
-        heartbeat->worker = life.id;
-        heartbeat->born = life.born;
+        heartbeat->worker = incarnation.id;
+        heartbeat->born = incarnation.born;
         heartbeat->sequence = sequence;
     }
     return call;
--- a/paddlepier/cluster/heartbeatbatcher.h
+++ b/paddlepier/cluster/heartbeatbatcher.h
@@ -1,15 +1,17 @@
-// Answers announcements of workers that tell nothing new on replicas that don't lead, and tells the leader of them in batches.
+// Answers workers' announcements that contain nothing new on replicas that aren't the leader, and collects them for the
+// leader.
 //
-// Thousands of workers announce themselves every other second, nearly always with what the replicated state holds already. The
-// leader needs to know no more of such an announcement than that it came. One that differs in anything goes to the leader
-// itself: a worker that joins, changes its room or drains is acknowledged by the leader alone, after the commit.
+// Thousands of workers announce themselves every other second, nearly always with what the replicated state already
+// contains. The leader only needs to know that such an announcement came, so it is reported in batches. An announcement
+// that differs in anything is forwarded: a worker that joins, changes its capacity or drains is acknowledged by the
+// leader only, after the commit.
 //
-// A replica that is behind the leader may take an announcement for nothing new that returns to an older room. The next one finds
-// it up to date; only a replica that has heard from the leader lately may answer.
+// A replica that lags behind the leader may absorb an announcement that returns to an earlier capacity. The worker's
+// next announcement corrects this, because only a replica that has recently heard from the leader may absorb.
 //
 // Example:
-//     if (relay.absorb(state, call)) { answer(); }
-//     leader.call(WorkMethod::Heartbeats, wire::pack(relay.take()));
+//     if (batcher.absorb(state, call)) { answer(); }
+//     leader.call(WorkMethod::Heartbeats, wire::pack(batcher.drain()));
 //
 // Thread safety: none; owned by the control thread. Cost: O(log workers) an announcement.
 
@@ -28,10 +30,10 @@
 class HeartbeatBatcher
 {
 public:
-    /** @return true if the announcement tells nothing new; the leader is to be told of it with the next batch */
+    /** @return true if the announcement contains nothing new; it is then part of the next batch for the leader */
     bool absorb(const workload::Workload &state, const work::AnnounceCallT &call);
     bool isEmpty() const;
-    /** The newest of each life since the last call. */
+    /** Returns the newest sequence number of each incarnation since the last call. */
     work::HeartbeatsCallT drain();
 
 private:
--- a/paddlepier/cluster/heartbeatbatcher_test.cpp
+++ b/paddlepier/cluster/heartbeatbatcher_test.cpp
@@ -1,4 +1,5 @@
-// Which announcements a replica that doesn't lead may answer.
+// Which announcements may be answered by a replica that isn't the leader. One that contains a change must reach the
+// leader, or a joining or draining worker would be acknowledged before the change is committed.
 
 #include "paddlepier/cluster/heartbeatbatcher.h"
 #include "paddlepier/workload/applycommand.h"
@@ -13,10 +14,10 @@
 namespace
 {
 
-class HeartbeatRelayFixture
+class HeartbeatBatcherFixture
 {
 public:
-    HeartbeatRelayFixture()
+    HeartbeatBatcherFixture()
     {
         workload::applyCommand(this->state, 1000, registrationOf(5));
     }
@@ -34,59 +35,59 @@
         return registration;
     }
 
-    /** @param change  what this announcement says otherwise than the one that is held */
+    /** @param change  modifies the registration before it is announced */
     template<typename Change>
-    bool absorbs(std::uint64_t sequence, Change change)
+    bool isAbsorbed(std::uint64_t sequence, Change change)
     {
         work::AnnounceCallT call;
         call.registration = std::make_unique<work::RegisterWorkerT>(registrationOf(sequence));
         call.sequence = sequence;
         change(*call.registration);
-        return this->relay.absorb(this->state, call);
+        return this->batcher.absorb(this->state, call);
     }
 
     workload::Workload state;
-    HeartbeatBatcher relay;
+    HeartbeatBatcher batcher;
 };
 
 } // namespace
 
-TEST_CASE_METHOD(HeartbeatRelayFixture, "announcementThatTellsNothingNew_isAbsorbedAndToldOnce")
+TEST_CASE_METHOD(HeartbeatBatcherFixture, "announcement_withoutChange_isAbsorbedAndReportedOnce")
 {
     const auto nothing = [](work::RegisterWorkerT &) {};
-    CHECK(this->relay.isEmpty());
-    CHECK(this->absorbs(6, nothing));
-    CHECK(this->absorbs(8, nothing));
-    CHECK(this->absorbs(7, nothing));
-    const work::HeartbeatsCallT call = this->relay.drain();
+    CHECK(this->batcher.isEmpty());
+    CHECK(this->isAbsorbed(6, nothing));
+    CHECK(this->isAbsorbed(8, nothing));
+    CHECK(this->isAbsorbed(7, nothing));
+    const work::HeartbeatsCallT call = this->batcher.drain();
     REQUIRE(call.heartbeats.size() == 1);
     CHECK(call.heartbeats[0]->worker == "w");
     CHECK(call.heartbeats[0]->born == 700);
     CHECK(call.heartbeats[0]->sequence == 8);
-    CHECK(this->relay.isEmpty());
+    CHECK(this->batcher.isEmpty());
 }
 
-TEST_CASE_METHOD(HeartbeatRelayFixture, "announcementThatTellsAnythingElse_isLeftToTheLeader")
+TEST_CASE_METHOD(HeartbeatBatcherFixture, "announcement_withAnyChange_isLeftToLeader")
 {
     using Registration = work::RegisterWorkerT;
-    CHECK_FALSE(this->absorbs(4, [](Registration &) {}));
-    CHECK_FALSE(this->absorbs(6, [](Registration &said) { said.id = "v"; }));
-    CHECK_FALSE(this->absorbs(6, [](Registration &said) { said.born = 900; }));
-    CHECK_FALSE(this->absorbs(6, [](Registration &said) { said.born = 0; }));
-    CHECK_FALSE(this->absorbs(6, [](Registration &said) { said.isDraining = true; }));
-    CHECK_FALSE(this->absorbs(6, [](Registration &said) { said.address = "127.0.0.1:2"; }));
-    CHECK_FALSE(this->absorbs(6, [](Registration &said) { said.labels = {"b", "r1"}; }));
-    CHECK_FALSE(this->absorbs(6, [](Registration &said) { said.capacity = std::make_unique<work::Demand>(3000, 1000, 0); }));
-    CHECK(this->relay.isEmpty());
+    CHECK_FALSE(this->isAbsorbed(4, [](Registration &) {}));
+    CHECK_FALSE(this->isAbsorbed(6, [](Registration &changed) { changed.id = "v"; }));
+    CHECK_FALSE(this->isAbsorbed(6, [](Registration &changed) { changed.born = 900; }));
+    CHECK_FALSE(this->isAbsorbed(6, [](Registration &changed) { changed.born = 0; }));
+    CHECK_FALSE(this->isAbsorbed(6, [](Registration &changed) { changed.isDraining = true; }));
+    CHECK_FALSE(this->isAbsorbed(6, [](Registration &changed) { changed.address = "127.0.0.1:2"; }));
+    CHECK_FALSE(this->isAbsorbed(6, [](Registration &changed) { changed.labels = {"b", "r1"}; }));
+    CHECK_FALSE(this->isAbsorbed(6, [](Registration &changed) { changed.capacity = std::make_unique<work::Demand>(3000, 1000, 0); }));
+    CHECK(this->batcher.isEmpty());
 }
 
-TEST_CASE_METHOD(HeartbeatRelayFixture, "announcementOfADrainingWorker_isLeftToTheLeader")
+TEST_CASE_METHOD(HeartbeatBatcherFixture, "announcement_ofDrainingWorker_isLeftToLeader")
 {
     work::RegisterWorkerT draining = registrationOf(6);
     draining.isDraining = true;
     workload::applyCommand(this->state, 1000, std::move(draining));
-    CHECK_FALSE(this->absorbs(7, [](work::RegisterWorkerT &said) { said.isDraining = true; }));
-    CHECK_FALSE(this->absorbs(8, [](work::RegisterWorkerT &) {}));
+    CHECK_FALSE(this->isAbsorbed(7, [](work::RegisterWorkerT &changed) { changed.isDraining = true; }));
+    CHECK_FALSE(this->isAbsorbed(8, [](work::RegisterWorkerT &) {}));
 }
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/leaderclient.cpp
+++ b/paddlepier/cluster/leaderclient.cpp
@@ -1,4 +1,4 @@
-// Brings calls to the leader of the workload ledger.
+// Sends calls to the leader of the workload ledger.
 
 #include "paddlepier/cluster/leaderclient.h"
 
@@ -13,10 +13,10 @@
 namespace
 {
 
-/** A leader answers within a commit (two syncs and a round trip, some 30 ms); ten times that means that it is gone. */
-constexpr Duration answerPatience = absl::Milliseconds(350);
+/** A leader answers within a commit (two syncs and a round trip, some 30 ms); after ten times that it counts as gone. */
+constexpr Duration answerTimeout = absl::Milliseconds(350);
 
-/** Pause after an answer that names no leader: a fraction of an election. */
+/** Pause after an answer that names no leader: a fraction of the duration of an election. */
 constexpr Duration noLeaderPause = absl::Milliseconds(60);
 
 } // namespace
@@ -49,14 +49,14 @@
     return this->pending.size();
 }
 
-void LeaderClient::call(Timestamp now, WorkMethod method, std::string body, Duration patience, CallDone done)
+void LeaderClient::call(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallDone done)
 {
     const std::uint64_t id = this->nextId++;
     PendingCall &pending = this->pending[id];
     pending.method = method;
     pending.body = std::move(body);
     pending.done = std::move(done);
-    pending.deadline = now + patience;
+    pending.deadline = now + timeout;
     this->attempt(now, id, pending);
 }
 
@@ -70,9 +70,9 @@
 
 void LeaderClient::attempt(Timestamp now, std::uint64_t id, PendingCall &pending)
 {
-    pending.nextAttemptAt = now + answerPatience;
+    pending.nextAttemptAt = now + answerTimeout;
     if (pending.method == WorkMethod::Presence && this->leader.empty()) {
-        // Looking for the leader: whoever leads answers, however many of the others are gone.
+        // Without a known leader the call goes to all cores, so that the leader answers however many of the others are down.
         pending.target.clear();
         for (const std::string &core : this->coreInstances) {
             this->sendTo(core, id, pending);
@@ -99,14 +99,14 @@
 
 void LeaderClient::receiveReply(Timestamp now, const std::string &fromInstance, const wire::CallReplyT &reply)
 {
-    const std::string before = this->leader;
+    const std::string previousLeader = this->leader;
     if (reply.error == ErrorCode::None) {
         this->leader = fromInstance;
         this->lastAnsweredAt = now;
     } else if (this->leader == fromInstance || this->leader.empty()) {
         this->leader = reply.leader == fromInstance ? "" : reply.leader;
     }
-    if (!this->leader.empty() && this->leader != before) {
+    if (!this->leader.empty() && this->leader != previousLeader) {
         this->retryAtNewLeader(now);
     }
     const auto found = this->pending.find(reply.id);
@@ -137,19 +137,19 @@
 
 void LeaderClient::tick(Timestamp now)
 {
-    std::vector<std::uint64_t> late;
+    std::vector<std::uint64_t> expired;
     for (auto &[id, pending] : this->pending) {
         if (pending.deadline <= now) {
-            late.push_back(id);
+            expired.push_back(id);
         } else if (pending.nextAttemptAt <= now) {
-            // One late answer is no proof while others come: a commit may wait for a slow disk.
-            if (pending.target == this->leader && pending.unresolvedAttempts > 0 && now - this->lastAnsweredAt >= answerPatience) {
+            // One late answer doesn't clear the leader while it answers other calls: a commit may wait for a slow disk.
+            if (pending.target == this->leader && pending.unresolvedAttempts > 0 && now - this->lastAnsweredAt >= answerTimeout) {
                 this->leader.clear();
             }
             this->attempt(now, id, pending);
         }
     }
-    for (const std::uint64_t id : late) {
+    for (const std::uint64_t id : expired) {
         CallResult result;
         result.error = this->pending.at(id).unresolvedAttempts > 0 ? ErrorCode::Timeout : ErrorCode::NotLeader;
         this->complete(id, result);
--- a/paddlepier/cluster/leaderclient.h
+++ b/paddlepier/cluster/leaderclient.h
@@ -1,16 +1,16 @@
-// Brings calls to the leader of the workload ledger, wherever it is.
+// Sends calls to the leader of the workload ledger, wherever it is.
 //
-// A call goes to the instance that is thought to lead; one that answers NotLeader may name a better one, and one that
-// doesn't answer is passed over for the next core instance. Every call is idempotent, so that sending it again changes
-// nothing. A call ends by its deadline; whether it may have been taken is told exactly: only where every attempt was
-// answered with NotLeader it is certain that it wasn't.
+// A call goes to the instance that is believed to lead. An instance that answers NotLeader may name another one; an
+// instance that doesn't answer is skipped in favour of the next core instance. Every call is idempotent, so that it can
+// be sent again. A call ends by its deadline. NotLeader means that the call certainly wasn't accepted, because every
+// attempt was answered with NotLeader; Timeout means that it may have been, or may be later.
 //
 // Example:
 //     LeaderClient client(send, firstId);
 //     client.addCore("10.1.0.16:7720");
-//     client.call(now, WorkMethod::Job, body, patience, [](const CallResult &result) { ... });
+//     client.call(now, WorkMethod::Job, body, timeout, [](const CallResult &result) { ... });
 //
-// Thread safety: none; owned by the control thread. Each call costs O(log pending).
+// Thread safety: none; owned by the control thread. Cost: O(log pending) a call.
 
 #ifndef PADDLEPIER_CLUSTER_LEADERCLIENT_H
 #define PADDLEPIER_CLUSTER_LEADERCLIENT_H
@@ -39,9 +39,9 @@
     const std::vector<std::string> &cores() const;
 
     /** @p done is called exactly once, from tick() or receiveReply(). */
-    void call(Timestamp now, WorkMethod method, std::string body, Duration patience, CallDone done);
+    void call(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallDone done);
     void receiveReply(Timestamp now, const std::string &fromInstance, const wire::CallReplyT &reply);
-    /** Sends calls again whose answer is late, and ends those past their deadline. */
+    /** Retries calls without an answer, and completes those past their deadline. */
     void tick(Timestamp now);
 
     /** When the leader last answered. */
@@ -55,15 +55,18 @@
         CallDone done;
         Timestamp deadline;
         Timestamp nextAttemptAt;
-        /** Who was asked last; empty if nobody was, or all were. */
+        /** Target of the last attempt; empty if there was none, or if it went to all cores. */
         std::string target;
-        /** Attempts whose fate isn't known. */
+        /** Attempts that were neither answered nor refused. */
         std::uint32_t unresolvedAttempts = 0;
     };
 
     void attempt(Timestamp now, std::uint64_t id, PendingCall &pending);
     void sendTo(const std::string &instance, std::uint64_t id, PendingCall &pending);
-    /** Calls that wait for an answer of others needn't: in an outage's last moments callers' time budgets are nearly over. */
+    /**
+     * Retries calls that wait for another instance at the new leader at once: at the end of an outage the callers' time budgets are nearly
+     * spent.
+     */
     void retryAtNewLeader(Timestamp now);
     std::string nextTarget();
     void complete(std::uint64_t id, const CallResult &result);
--- a/paddlepier/cluster/leaderclient_test.cpp
+++ b/paddlepier/cluster/leaderclient_test.cpp
@@ -1,4 +1,5 @@
-// Calls to a leader that moves, is silent or isn't there.
+// Calls to a leader that changes, doesn't respond or doesn't exist. A caller may treat a call as not executed only if
+// every attempt was refused: one unanswered attempt may have been accepted by a leader whose answer was lost.
 
 #include "paddlepier/cluster/leaderclient.h"
 
@@ -35,9 +36,9 @@
         this->client.addCore("c:1");
     }
 
-    void call(Duration patience = absl::Seconds(2), WorkMethod method = WorkMethod::Announce)
+    void call(Duration timeout = absl::Seconds(2), WorkMethod method = WorkMethod::Announce)
     {
-        this->client.call(this->now, method, "", patience, [this](const CallResult &result) { this->results.push_back(result); });
+        this->client.call(this->now, method, "", timeout, [this](const CallResult &result) { this->results.push_back(result); });
     }
 
     void reply(const Sent &request, ErrorCode error, const std::string &leader = "")
@@ -50,7 +51,7 @@
         this->client.receiveReply(this->now, request.to, answer);
     }
 
-    void pass(Duration time)
+    void advance(Duration time)
     {
         for (const Timestamp end = this->now + time; this->now < end; this->now += absl::Milliseconds(20)) {
             this->client.tick(this->now);
@@ -65,12 +66,12 @@
 
 } // namespace
 
-TEST_CASE_METHOD(LeaderClientFixture, "call_toAnotherThanTheLeader_followsItsHint")
+TEST_CASE_METHOD(LeaderClientFixture, "call_toFollower_followsLeaderHint")
 {
     this->call();
     REQUIRE(this->sent.size() == 1);
     this->reply(this->sent[0], ErrorCode::NotLeader, "c:1");
-    this->pass(absl::Milliseconds(40));
+    this->advance(absl::Milliseconds(40));
     REQUIRE(this->sent.size() == 2);
     CHECK(this->sent[1].to == "c:1");
     this->reply(this->sent[1], ErrorCode::None);
@@ -80,20 +81,20 @@
     CHECK(this->sent.back().to == "c:1");
 }
 
-TEST_CASE_METHOD(LeaderClientFixture, "call_withoutAnswer_goesToAllCoresAndEndsAsUncertain")
+TEST_CASE_METHOD(LeaderClientFixture, "call_unanswered_triesAllCoresAndEndsWithTimeout")
 {
     this->call(absl::Seconds(2));
-    this->pass(absl::Milliseconds(2100));
-    std::set<std::string> asked;
+    this->advance(absl::Milliseconds(2100));
+    std::set<std::string> targets;
     for (const Sent &request : this->sent) {
-        asked.insert(request.to);
+        targets.insert(request.to);
     }
-    CHECK(asked.size() == 3);
+    CHECK(targets.size() == 3);
     REQUIRE(this->results.size() == 1);
     CHECK(this->results[0].error == ErrorCode::Timeout);
 }
 
-TEST_CASE_METHOD(LeaderClientFixture, "call_refusedByAll_endsAsCertainlyNotTaken")
+TEST_CASE_METHOD(LeaderClientFixture, "call_refusedByAll_endsWithNotLeader")
 {
     this->call(absl::Milliseconds(600));
     std::size_t answered = 0;
@@ -101,35 +102,35 @@
         while (answered < this->sent.size()) {
             this->reply(this->sent[answered++], ErrorCode::NotLeader);
         }
-        this->pass(absl::Milliseconds(20));
+        this->advance(absl::Milliseconds(20));
     }
     CHECK(this->results[0].error == ErrorCode::NotLeader);
 }
 
-TEST_CASE_METHOD(LeaderClientFixture, "call_oneAttemptUnanswered_isUncertainThoughOthersRefuse")
+TEST_CASE_METHOD(LeaderClientFixture, "call_oneAttemptUnansweredOthersRefused_endsWithTimeout")
 {
     this->call(absl::Seconds(1));
-    this->pass(absl::Milliseconds(400));
+    this->advance(absl::Milliseconds(400));
     REQUIRE(this->sent.size() == 2);
     this->reply(this->sent[1], ErrorCode::NotLeader);
-    this->pass(absl::Seconds(1));
+    this->advance(absl::Seconds(1));
     REQUIRE(this->results.size() == 1);
     CHECK(this->results[0].error == ErrorCode::Timeout);
 }
 
-TEST_CASE_METHOD(LeaderClientFixture, "presence_whileNoLeaderIsKnown_goesToEveryCore")
+TEST_CASE_METHOD(LeaderClientFixture, "presence_noKnownLeader_isSentToAllCores")
 {
     this->call(absl::Seconds(1), WorkMethod::Presence);
     CHECK(this->sent.size() == 3);
 }
 
-TEST_CASE_METHOD(LeaderClientFixture, "call_lateWhileTheLeaderAnswersOthers_staysWithIt")
+TEST_CASE_METHOD(LeaderClientFixture, "call_lateWhileLeaderAnswersOthers_keepsLeader")
 {
     this->call();
     this->reply({"b:1", this->sent[0].id}, ErrorCode::None);
     this->call(absl::Seconds(2));
     for (int round = 0; round < 5; ++round) {
-        this->pass(absl::Milliseconds(200));
+        this->advance(absl::Milliseconds(200));
         this->call();
         this->reply(this->sent.back(), ErrorCode::None);
     }
@@ -138,28 +139,28 @@
     }
 }
 
-TEST_CASE_METHOD(LeaderClientFixture, "lateAnswer_afterTheEnd_changesNothing")
+TEST_CASE_METHOD(LeaderClientFixture, "lateAnswer_afterDeadline_isIgnored")
 {
     this->call(absl::Milliseconds(200));
-    this->pass(absl::Milliseconds(300));
+    this->advance(absl::Milliseconds(300));
     REQUIRE(this->results.size() == 1);
     this->reply(this->sent[0], ErrorCode::None);
     CHECK(this->results.size() == 1);
 }
 
-TEST_CASE_METHOD(LeaderClientFixture, "pendingCall_onceALeaderShowsItself_isSentToItAtOnce")
+TEST_CASE_METHOD(LeaderClientFixture, "pendingCall_newLeaderFound_isRetriedThereAtOnce")
 {
     this->call(absl::Seconds(2));
-    this->pass(absl::Milliseconds(40));
+    this->advance(absl::Milliseconds(40));
     REQUIRE(this->sent.size() == 1);
-    // Another call finds the leader while the first one waits for an instance that is gone.
+    // Another call finds the leader while the first one waits for an instance that is down.
     this->call(absl::Seconds(2), WorkMethod::Presence);
-    const auto shown = std::find_if(this->sent.begin() + 1, this->sent.end(), [this](const Sent &entry) { return entry.to != this->sent[0].to; });
-    REQUIRE(shown != this->sent.end());
-    const Sent found = *shown;
+    const auto leaderRequest = std::find_if(this->sent.begin() + 1, this->sent.end(), [this](const Sent &entry) { return entry.to != this->sent[0].to; });
+    REQUIRE(leaderRequest != this->sent.end());
+    const Sent found = *leaderRequest;
     this->reply(found, ErrorCode::None);
     const std::size_t before = this->sent.size();
-    this->pass(absl::Milliseconds(40));
+    this->advance(absl::Milliseconds(40));
     REQUIRE(this->sent.size() == before + 1);
     CHECK(this->sent.back().to == found.to);
     CHECK(this->sent.back().id == this->sent[0].id);
--- a/paddlepier/cluster/memberprocess.cpp
+++ b/paddlepier/cluster/memberprocess.cpp
@@ -1,4 +1,4 @@
-// What the processes of the cluster have in common.
+// Common base of the cluster's processes.
 
 #include "paddlepier/cluster/memberprocess.h"
 
@@ -13,12 +13,12 @@
 namespace
 {
 
-/** Events that may wait for the control thread; far beyond what a second brings. */
+/** Bound on queued events of the control thread, far above the events of a second. */
 constexpr std::size_t mailboxLimit = 20'000;
 
 /**
- * A step that takes longer, or that begins so much too late because other threads or processes had the processor, is written to the log:
- * two of them in a row bring elections near.
+ * A step that takes longer than this, or starts this much too late because other threads or processes had the processor, is logged: two
+ * such steps in a row come close to causing an election.
  */
 constexpr Duration slowStep = absl::Milliseconds(100);
 
@@ -131,16 +131,16 @@
     });
 }
 
-void MemberProcess::call(WorkMethod method, std::string body, Duration patience, CallDone done)
+void MemberProcess::call(WorkMethod method, std::string body, Duration timeout, CallDone done)
 {
-    this->post([this, method, body = std::move(body), patience, done = std::move(done)]() mutable {
-        this->callLeader(controlNow(), method, std::move(body), patience, std::move(done));
+    this->post([this, method, body = std::move(body), timeout, done = std::move(done)]() mutable {
+        this->callLeader(controlNow(), method, std::move(body), timeout, std::move(done));
     });
 }
 
-void MemberProcess::callLeader(Timestamp now, WorkMethod method, std::string body, Duration patience, CallDone done)
+void MemberProcess::callLeader(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallDone done)
 {
-    this->leader->call(now, method, std::move(body), patience, std::move(done));
+    this->leader->call(now, method, std::move(body), timeout, std::move(done));
 }
 
 void MemberProcess::addSeeds(std::vector<std::string> seeds)
@@ -187,30 +187,31 @@
     this->stopGracefully();
 }
 
-void MemberProcess::step(Duration patience)
+void MemberProcess::step(Duration timeout)
 {
-    const Timestamp waitsSince = controlNow();
-    const std::vector<Mailbox::Work> batch = this->mailbox.drain(patience);
-    // What has come by now is in the batch; what comes while it is handled isn't, and mustn't count as missing.
-    const Timestamp takenAt = controlNow();
+    const Timestamp waitStart = controlNow();
+    const std::vector<Mailbox::Work> batch = this->mailbox.drain(timeout);
+    // Events that arrived by now are in the batch. Those that arrive while it is handled aren't, and must not count as missing.
+    const Timestamp receivedAt = controlNow();
     this->suspension.check();
-    if (takenAt - waitsSince > patience + slowStep) {
-        log::warning("cluster", "control.late", {{"millis", absl::ToInt64Milliseconds(takenAt - waitsSince)}, {"events", batch.size()}});
+    if (receivedAt - waitStart > timeout + slowStep) {
+        log::warning("cluster", "control.late", {{"millis", absl::ToInt64Milliseconds(receivedAt - waitStart)}, {"events", batch.size()}});
     }
-    const ScopeTimer whole(this->stepTimes);
+    const ScopeTimer stepTimer(this->stepTimes);
     {
-        const ScopeTimer events(this->eventTimes);
+        const ScopeTimer eventTimer(this->eventTimes);
         for (const Mailbox::Work &work : batch) {
             work();
         }
     }
-    const Duration eventTime = whole.elapsed();
-    this->leader->tick(takenAt);
-    this->advance(controlNow(), takenAt);
-    if (whole.elapsed() > slowStep) {
-        log::warning("cluster",
-                     "control.slow",
-                     {{"millis", absl::ToInt64Milliseconds(whole.elapsed())}, {"events", batch.size()}, {"eventMillis", absl::ToInt64Milliseconds(eventTime)}});
+    const Duration eventTime = stepTimer.elapsed();
+    this->leader->tick(receivedAt);
+    this->advance(controlNow(), receivedAt);
+    if (stepTimer.elapsed() > slowStep) {
+        log::warning(
+            "cluster",
+            "control.slow",
+            {{"millis", absl::ToInt64Milliseconds(stepTimer.elapsed())}, {"events", batch.size()}, {"eventMillis", absl::ToInt64Milliseconds(eventTime)}});
     }
 }
 
--- a/paddlepier/cluster/memberprocess.h
+++ b/paddlepier/cluster/memberprocess.h
@@ -1,9 +1,9 @@
-// What the processes of the cluster have in common: one control thread, connections to peers, and calls to the leader.
+// Common base of the cluster's processes: one control thread, connections to peers, and calls to the leader.
 //
-// A process on a core machine has a replica and may lead; one on an entry machine has none. Everything but posting runs
-// on the control thread.
+// A process on a core machine has a replica and may lead; one on an entry machine has none. Everything except posting
+// runs on the control thread.
 //
-// Thread safety: call(), requestStop(), addSeeds() from any thread.
+// Thread safety: call(), requestStop() and addSeeds() may be called from any thread.
 
 #ifndef PADDLEPIER_CLUSTER_MEMBERPROCESS_H
 #define PADDLEPIER_CLUSTER_MEMBERPROCESS_H
@@ -29,10 +29,10 @@
 {
 
 struct MemberOptions {
-    /** `id` is the peer address, `acceptsUnknownPeers` is set. */
+    /** `id` is the peer address; `acceptsUnknownPeers` is set. */
     Settings settings;
     std::string zone;
-    /** Peer addresses of core instances to begin with. */
+    /** Peer addresses of the core instances that are contacted first. */
     std::vector<std::string> seeds;
 };
 
@@ -45,40 +45,40 @@
     MemberProcess(const MemberProcess &) = delete;
     MemberProcess &operator=(const MemberProcess &) = delete;
 
-    /** Calls the leader; @p done is called exactly once, on the control thread. */
-    void call(WorkMethod method, std::string body, Duration patience, CallDone done);
+    /** Calls the leader. @p done is called exactly once, on the control thread. */
+    void call(WorkMethod method, std::string body, Duration timeout, CallDone done);
     void addSeeds(std::vector<std::string> seeds);
 
-    /** Serves until requestStop(), then stops as planned. */
+    /** Runs until requestStop(), then stops gracefully. */
     void run();
     void requestStop();
 
-    /** True if callers are to be sent here. */
+    /** True if the balancer should send callers to this instance. */
     bool isReady() const;
-    /** Where this process stands. */
+    /** The data centre of this process. */
     const std::string &dataCentre() const;
     bool isStopping() const;
     Counters &processCounters();
 
 protected:
     /**
-     * On the control thread, about every tick and after every batch of events. What came up to @p seenUntil has been handled:
-     * an answer that is missing then is late, whatever @p now is.
+     * Called on the control thread about every tick and after every batch of events. All events that arrived by @p processedUntil have been
+     * handled: an answer that is missing then is late, whatever @p now is.
      */
-    virtual void advance(Timestamp now, Timestamp seenUntil) = 0;
+    virtual void advance(Timestamp now, Timestamp processedUntil) = 0;
     virtual void receiveCall(const std::string &fromInstance, const wire::CallRequestT &request) = 0;
     virtual void receiveReply(const std::string &fromInstance, const wire::CallReplyT &answer);
-    /** Frames that are no calls. */
+    /** Handles frames other than calls and replies. */
     virtual void receiveFrame(wire::PeerFrameT frame) = 0;
-    virtual void callLeader(Timestamp now, WorkMethod method, std::string body, Duration patience, CallDone done);
+    virtual void callLeader(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallDone done);
     virtual void stopGracefully() = 0;
 
-    void step(Duration patience);
+    void step(Duration timeout);
     void post(std::function<void()> work);
     void sendFrame(const std::string &instance, wire::PeerFrameT frame);
     void sendReply(const std::string &instance, wire::CallReplyT answer);
     void reply(const std::string &instance, std::uint64_t id, const CallResult &result, const std::string &leaderHint);
-    /** Answers a question to the policy service for another instance. */
+    /** Calls the policy service on behalf of another instance. */
     void answerAdviceCall(const std::string &instance, const wire::CallRequestT &request);
     void stopTransport();
 
@@ -86,7 +86,7 @@
     const AdvicePort advice;
     Counters counters;
     Mailbox mailbox;
-    /** What the control thread spends its time on: a whole step, and the events of its batch. */
+    /** Durations of the control thread's steps, and of the event batch in each. */
     Histogram &stepTimes;
     Histogram &eventTimes;
     SuspensionReporter suspension;
@@ -100,7 +100,7 @@
     std::unique_ptr<peer::Transport> transport;
 };
 
-/** A number that other processes and earlier lives of this one won't use. */
+/** A random number, for seeds and for ids that don't repeat those of other processes or earlier incarnations of this one. */
 std::uint64_t randomSeed();
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/orderrelay.cpp
+++ b/paddlepier/cluster/orderrelay.cpp
@@ -1,4 +1,4 @@
-// Brings orders to workers, by the leader itself or through another core instance.
+// Sends orders to workers, directly or through another core instance.
 
 #include "paddlepier/cluster/orderrelay.h"
 
@@ -14,26 +14,26 @@
 namespace
 {
 
-/** Beyond the time that a worker has: the way over another core, some ten round trips of the slowest link. */
-constexpr Duration carrySlack = absl::Milliseconds(150);
+/** Added to the worker's time for the detour over another core: some ten round trips of the slowest link. */
+constexpr Duration relaySlack = absl::Milliseconds(150);
 
-/** A sound worker answers over another core within some 20 ms: ten times that, and time left for a job that has a second to spare. */
-constexpr Duration overtakingAfter = absl::Milliseconds(250);
+/** A healthy worker answers over another core within some 20 ms. This is ten times that, and leaves time to a job with one second of slack. */
+constexpr Duration hedgeDelay = absl::Milliseconds(250);
 
 /**
- * Orders under way both ways at once: what a lost carrier of five holds up in that time at 1,500 starts a second. A leader that is slow
- * itself, so that all answers come late, adds no more than that to its own work.
+ * Bound on concurrent hedges: what the loss of one relay of five holds up within the hedge delay at 1,500 starts a second. A leader that is
+ * slow itself, and therefore sees all answers late, adds no more than that to its own load.
  */
-constexpr std::size_t mostOvertaking = 100;
+constexpr std::size_t maxHedgesInFlight = 100;
 
 /**
- * Pause between instances whose watches end for their silence. Each end has hundreds of workers polled anew: where many instances look
- * silent because this process is slow, all of that at once would make it slower.
+ * Pause between instances whose watches are ended as unresponsive. Each end causes polls of hundreds of workers. If many instances look
+ * unresponsive because this process is slow, ending all watches at once would slow it down further.
  */
 constexpr Duration watchEndInterval = absl::Milliseconds(100);
 
-/** A second one of the same order changes nothing, whenever it arrives. */
-bool mayArriveTwice(const execution::Order &order)
+/** A second copy of such an order has no effect, whenever it arrives. */
+bool isIdempotent(const execution::Order &order)
 {
     return std::holds_alternative<execution::StartOrder>(order) || std::holds_alternative<execution::StopOrder>(order);
 }
@@ -44,8 +44,8 @@
     return poll == nullptr ? absl::ZeroDuration() : poll->watch;
 }
 
-/** Nothing that arrives after this answer changes what it says. */
-bool settles(execution::AnswerKind kind)
+/** True if no later answer to a copy of the order can change the result. */
+bool isConclusive(execution::AnswerKind kind)
 {
     switch (kind) {
     case execution::AnswerKind::Accepted:
@@ -67,8 +67,8 @@
 
 } // namespace
 
-OrderRelay::OrderRelay(RelayHooks carryingWays)
-    : hooks(std::move(carryingWays))
+OrderRelay::OrderRelay(RelayHooks relayHooks)
+    : hooks(std::move(relayHooks))
 {
 }
 
@@ -79,15 +79,15 @@
     }
 }
 
-void OrderRelay::tick(Timestamp seenUntil)
+void OrderRelay::tick(Timestamp processedUntil)
 {
-    if (seenUntil < this->nextWatchEnd) {
+    if (processedUntil < this->nextWatchEnd) {
         return;
     }
-    const auto isLost = [this, seenUntil](const auto &entry) { return !entry.second.empty() && !this->relays.isAlive(seenUntil, entry.first); };
+    const auto isLost = [this, processedUntil](const auto &entry) { return !entry.second.empty() && !this->relays.isAlive(processedUntil, entry.first); };
     const auto lost = std::find_if(this->watches.begin(), this->watches.end(), isLost);
     if (lost != this->watches.end()) {
-        this->nextWatchEnd = seenUntil + watchEndInterval;
+        this->nextWatchEnd = processedUntil + watchEndInterval;
         this->endWatchesOf(std::string(lost->first));
     }
 }
@@ -97,57 +97,57 @@
     this->watches.clear();
 }
 
-void OrderRelay::endWatchesOf(const std::string &carrier)
+void OrderRelay::endWatchesOf(const std::string &relay)
 {
-    const auto found = this->watches.find(carrier);
+    const auto found = this->watches.find(relay);
     if (found == this->watches.end()) {
         return;
     }
     const std::set<OrderPtr> ended = std::move(found->second);
     this->watches.erase(found);
-    log::info("cluster", "watches.lost", {{"instance", carrier}, {"workers", ended.size()}});
+    log::info("cluster", "watches.lost", {{"instance", relay}, {"workers", ended.size()}});
     for (const OrderPtr &pending : ended) {
         this->completeAttempt(pending, pending->primary, {});
     }
 }
 
-void OrderRelay::send(const RelayTarget &place, const execution::WorkerCall &call, const Done &done)
+void OrderRelay::send(const RelayTarget &target, const execution::WorkerCall &call, const Done &done)
 {
     const Timestamp now = this->hooks.now();
-    const std::string carrier = this->relays.choose(now, place.workerCount, call.worker.id, place.dataCentre);
-    const OrderPtr pending = std::make_shared<PendingOrder>(PendingOrder{call, carrier, now, done, {true}, {}});
-    if (carrier.empty()) {
+    const std::string relay = this->relays.choose(now, target.workerCount, call.worker.id, target.dataCentre);
+    const OrderPtr pending = std::make_shared<PendingOrder>(PendingOrder{call, relay, now, done, {true}, {}});
+    if (relay.empty()) {
         this->hooks.sendDirect(call, [this, pending](const execution::WorkerAnswer &answer) { this->completeAttempt(pending, pending->primary, answer); });
     } else {
         const Duration watch = watchOf(call);
         if (watch > absl::ZeroDuration()) {
-            this->watches[carrier].insert(pending);
+            this->watches[relay].insert(pending);
         }
         this->hooks.sendVia(
-            carrier, call, now + call.timeout + watch + carrySlack, [this, pending](const RelayResult &carried) { this->handleRelayResult(pending, carried); });
+            relay, call, now + call.timeout + watch + relaySlack, [this, pending](const RelayResult &relayed) { this->handleRelayResult(pending, relayed); });
     }
-    if (!mayArriveTwice(call.order)) {
+    if (!isIdempotent(call.order)) {
         return;
     }
-    this->hooks.runAt(now + overtakingAfter, [this, pending] {
+    this->hooks.runAt(now + hedgeDelay, [this, pending] {
         if (pending->isDone || !pending->primary.isPending) {
             return;
         }
         this->suspectRelay(*pending);
-        if (this->hedgesInFlight < mostOvertaking) {
+        if (this->hedgesInFlight < maxHedgesInFlight) {
             this->sendHedge(pending);
         }
     });
 }
 
-void OrderRelay::handleRelayResult(const OrderPtr &pending, const RelayResult &carried)
+void OrderRelay::handleRelayResult(const OrderPtr &pending, const RelayResult &relayed)
 {
-    if (carried.outcome == RelayOutcome::TimedOut) {
+    if (relayed.outcome == RelayOutcome::TimedOut) {
         this->suspectRelay(*pending);
     } else {
         this->lastAnsweredAt[pending->relay] = this->hooks.now();
     }
-    if (carried.outcome == RelayOutcome::Declined) {
+    if (relayed.outcome == RelayOutcome::Declined) {
         this->relays.recordFailure(this->hooks.now(), pending->relay);
         pending->primary = {};
         if (!pending->isDone && !pending->hedge.isPending) {
@@ -155,18 +155,18 @@
         }
         return;
     }
-    const execution::AnswerKind kind = carried.answer.kind;
+    const execution::AnswerKind kind = relayed.answer.kind;
     if (kind == execution::AnswerKind::NoAnswer || kind == execution::AnswerKind::NotSent) {
         this->relays.recordUnreachable(pending->call.worker.id);
     }
-    this->completeAttempt(pending, pending->primary, carried.answer);
+    this->completeAttempt(pending, pending->primary, relayed.answer);
 }
 
 void OrderRelay::suspectRelay(const PendingOrder &order)
 {
     const auto answered = this->lastAnsweredAt.find(order.relay);
-    const bool isSilent = answered == this->lastAnsweredAt.end() || answered->second < order.sentAt;
-    if (order.relay.empty() || !isSilent) {
+    const bool isUnresponsive = answered == this->lastAnsweredAt.end() || answered->second < order.sentAt;
+    if (order.relay.empty() || !isUnresponsive) {
         return;
     }
     if (this->relays.recordFailure(this->hooks.now(), order.relay)) {
@@ -188,29 +188,29 @@
     this->completeAttempt(pending, pending->hedge, answer);
 }
 
-void OrderRelay::completeAttempt(const OrderPtr &pending, Attempt &way, const execution::WorkerAnswer &answer)
+void OrderRelay::completeAttempt(const OrderPtr &pending, Attempt &attempt, const execution::WorkerAnswer &answer)
 {
-    way = {false, answer.kind};
+    attempt = {false, answer.kind};
     if (const auto watched = this->watches.find(pending->relay); watched != this->watches.end()) {
         watched->second.erase(pending);
     }
-    if (pending->isDone || (!settles(answer.kind) && (pending->primary.isPending || pending->hedge.isPending))) {
+    if (pending->isDone || (!isConclusive(answer.kind) && (pending->primary.isPending || pending->hedge.isPending))) {
         return;
     }
     pending->isDone = true;
-    execution::WorkerAnswer whole = answer;
-    whole.kind = settles(answer.kind) ? answer.kind : combinedResult(*pending);
-    pending->done(whole);
+    execution::WorkerAnswer finalAnswer = answer;
+    finalAnswer.kind = isConclusive(answer.kind) ? answer.kind : combinedResult(*pending);
+    pending->done(finalAnswer);
 }
 
 execution::AnswerKind OrderRelay::combinedResult(const PendingOrder &order)
 {
-    const execution::AnswerKind first = order.primary.result;
-    const execution::AnswerKind second = order.hedge.result;
-    if (first == execution::AnswerKind::NoAnswer || second == execution::AnswerKind::NoAnswer) {
+    const execution::AnswerKind primary = order.primary.result;
+    const execution::AnswerKind hedge = order.hedge.result;
+    if (primary == execution::AnswerKind::NoAnswer || hedge == execution::AnswerKind::NoAnswer) {
         return execution::AnswerKind::NoAnswer;
     }
-    return second == execution::AnswerKind::NotSent ? first : second;
+    return hedge == execution::AnswerKind::NotSent ? primary : hedge;
 }
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/orderrelay.h
+++ b/paddlepier/cluster/orderrelay.h
@@ -1,23 +1,23 @@
-// Brings orders to workers, by the leader itself or through another core instance, and past one that doesn't answer.
+// Sends orders to workers, directly or through another core instance, and hedges orders that aren't answered in time.
 //
-// A core that dies or is cut off takes the orders along that are on their way through it, a fifth of a cell's, and a worker
-// may leave an order unanswered and carry it out seconds later. To wait for the time out costs about a second, more than a
-// quick job has to spare. A start or a stop that isn't answered soon is therefore sent a second time, directly: a worker carries
-// a run's start out once, however often it comes, so that both may arrive. An answer that settles the order counts at once; a
-// refusal doesn't, as long as the other one may still arrive and be carried out.
+// A core that crashes or is cut off loses the orders that it is relaying, a fifth of a cell's, and a worker may leave
+// an order unanswered and execute it seconds later. Waiting for the timeout costs about a second, more than a quick job
+// can afford. A start or stop without a timely answer is therefore sent a second time, directly. Both copies may
+// arrive: a worker executes the start of a run only once. A conclusive answer ends the order at once; a refusal doesn't
+// while the other copy may still arrive and be executed.
 //
-// The poll of an idle worker goes on at the instance that carries it until something changes, for many seconds (workerwatch.h). Where that
-// instance shows itself no longer, has started again or is doubted, its watches end here at once, without an answer.
+// The relay of an idle worker's poll repeats it for many seconds until something changes (workerwatch.h). If the relay
+// stops reporting its presence, restarts or is suspected, its watches end here at once, without an answer.
 //
-// An instance that has answered nothing at all since a late order was sent carries none for a while. One late answer is no
-// reason: the worker may be at fault, and a carrier that is taken out for it leaves its work to the others, until they are
-// late as well.
+// A relay that has answered nothing at all since a late order was sent gets no orders for a while. One late answer is
+// no reason: the worker may be at fault, and excluding the relay shifts its load to the others until they are late as
+// well.
 //
 // Example:
-//     OrderCarrying carrying(ways);
-//     carrying.carry(now, {workerCount, dataCentre}, call, done);
+//     OrderRelay relay(hooks);
+//     relay.send({workerCount, dataCentre}, call, done);
 //
-// Thread safety: none; owned by the control thread, which calls back. Cost: O(core instances) an order.
+// Thread safety: none; owned by the control thread, on which callbacks run. Cost: O(core instances) an order.
 
 #ifndef PADDLEPIER_CLUSTER_ORDERRELAY_H
 #define PADDLEPIER_CLUSTER_ORDERRELAY_H
@@ -37,13 +37,13 @@
 namespace paddlepier::cluster
 {
 
-/** What another instance made of an order. */
+/** Outcome of an order that was sent through another instance. */
 enum class RelayOutcome {
-    /** It has a worker's answer, or its silence. */
+    /** The relay reported the worker's answer, or that the worker gave none. */
     Answered,
-    /** It is stopping, and has done nothing. */
+    /** The relay is stopping and hasn't sent the order. */
     Declined,
-    /** Nothing came by the deadline. */
+    /** The relay didn't reply by the deadline. */
     TimedOut
 };
 
@@ -52,7 +52,7 @@
     execution::WorkerAnswer answer;
 };
 
-/** How orders leave this process; each calls back once, on the control thread. */
+/** Functions that send orders and start timers; each calls back once, on the control thread. */
 struct RelayHooks {
     std::function<void(const execution::WorkerCall &call, std::function<void(const execution::WorkerAnswer &)> done)> sendDirect;
     std::function<void(const std::string &instance, const execution::WorkerCall &call, Timestamp deadline, std::function<void(const RelayResult &)> done)>
@@ -61,7 +61,7 @@
     std::function<Timestamp()> now;
 };
 
-/** Where an order goes. */
+/** Selects the relay: size of the cell, and data centre of the worker. */
 struct RelayTarget {
     std::size_t workerCount = 0;
     std::string dataCentre;
@@ -72,23 +72,26 @@
 public:
     using Done = std::function<void(const execution::WorkerAnswer &)>;
 
-    explicit OrderRelay(RelayHooks carryingWays);
+    explicit OrderRelay(RelayHooks relayHooks);
 
-    void send(const RelayTarget &place, const execution::WorkerCall &call, const Done &done);
+    void send(const RelayTarget &target, const execution::WorkerCall &call, const Done &done);
 
-    /** Another core instance has shown that it is there; @p incarnation is another one after each of its starts. */
+    /** Records that another core instance is reachable; @p incarnation changes with each of its starts. */
     void markAlive(Timestamp now, const std::string &instance, const std::string &dataCentre, std::uint64_t incarnation = 0);
-    /** Ends the watches of an instance that hasn't shown itself by @p seenUntil, one at a time; call it often. */
-    void tick(Timestamp seenUntil);
+    /**
+     * Ends the watches of an instance that hasn't reported its presence by @p processedUntil, of one instance at a time; must be called
+     * often.
+     */
+    void tick(Timestamp processedUntil);
 
-    /** This process leads no more: whoever leads now has the workers polled. */
+    /** Stops tracking all watches when this process stops leading: the new leader has the workers polled. */
     void abandonWatches();
 
 private:
-    /** One of the two ways that an order may take. */
+    /** One sending of an order, the primary one or the hedge. */
     struct Attempt {
         bool isPending = false;
-        /** Once it is closed: what came of it; NotSent if nothing was done. */
+        /** Result once it isn't pending; NotSent if nothing was sent. */
         execution::AnswerKind result = execution::AnswerKind::NotSent;
     };
     struct PendingOrder {
@@ -96,33 +99,33 @@
         std::string relay;
         Timestamp sentAt;
         Done done;
-        /** Through the carrier, or directly where there is none. */
+        /** Through the relay, or directly if there is none. */
         Attempt primary;
-        /** Directly, if the first one was late. */
+        /** Sent directly if the primary attempt is late. */
         Attempt hedge;
         bool isDone = false;
     };
     using OrderPtr = std::shared_ptr<PendingOrder>;
 
-    void endWatchesOf(const std::string &carrier);
-    /** An order through a carrier is late: the carrier itself is at fault if it has answered nothing at all since then. */
+    void endWatchesOf(const std::string &relay);
+    /** Handles a late order: excludes its relay if that has answered nothing at all since the order was sent. */
     void suspectRelay(const PendingOrder &order);
-    void handleRelayResult(const OrderPtr &pending, const RelayResult &carried);
+    void handleRelayResult(const OrderPtr &pending, const RelayResult &relayed);
     void sendHedge(const OrderPtr &pending);
     void handleHedgeAnswer(const OrderPtr &pending, const execution::WorkerAnswer &answer);
-    /** A way has closed with @p answer: ends the order if that settles it, or if no other way is open. */
-    void completeAttempt(const OrderPtr &pending, Attempt &way, const execution::WorkerAnswer &answer);
-    /** Of the order as a whole: uncertain if one of its ways is. */
+    /** Records the answer of an attempt; completes the order if the answer is conclusive or no other attempt is pending. */
+    void completeAttempt(const OrderPtr &pending, Attempt &attempt, const execution::WorkerAnswer &answer);
+    /** Result of an order without a conclusive answer: NoAnswer if that of either attempt is. */
     static execution::AnswerKind combinedResult(const PendingOrder &order);
 
     const RelayHooks hooks;
     RelayPool relays;
-    /** When each carrier last answered an order, whatever it said. */
+    /** When each relay last answered an order, whatever the answer. */
     std::map<std::string, Timestamp> lastAnsweredAt;
-    /** Watches under way, by their carriers. */
+    /** Pending watches by relay. */
     std::map<std::string, std::set<OrderPtr>> watches;
     Timestamp nextWatchEnd = absl::InfinitePast();
-    /** Orders sent both ways and not over. */
+    /** Hedges that aren't answered yet. */
     std::size_t hedgesInFlight = 0;
 };
 
--- a/paddlepier/cluster/orderrelay_test.cpp
+++ b/paddlepier/cluster/orderrelay_test.cpp
@@ -1,4 +1,6 @@
-// Orders through instances that are lost, slow or stopping, in virtual time.
+// Orders relayed by instances that fail, are slow or stop, in virtual time. Without a hedge an order that is lost with its
+// relay costs a quick job its whole slack; without a bound on hedges a slow leader would overload itself. A refusal must
+// not end an order whose other copy may still be executed, and watches must end with their relay.
 
 #include "paddlepier/cluster/orderrelay.h"
 
@@ -17,26 +19,26 @@
 
 using execution::AnswerKind;
 
-class OrderCarryingFixture
+class OrderRelayFixture
 {
 public:
-    OrderCarryingFixture()
-        : carrying(this->ways())
+    OrderRelayFixture()
+        : orderRelay(this->makeHooks())
     {
-        this->carrying.markAlive(this->now, "north-1", "north");
+        this->orderRelay.markAlive(this->now, "north-1", "north");
     }
 
-    RelayHooks ways()
+    RelayHooks makeHooks()
     {
-        RelayHooks made;
-        made.sendDirect = [this](const execution::WorkerCall &, const OrderRelay::Done &done) { this->direct.push_back(done); };
-        made.sendVia = [this](const std::string &, const execution::WorkerCall &, Timestamp deadline, const std::function<void(const RelayResult &)> &done) {
-            this->through.push_back(done);
-            this->timers.emplace(deadline, [this, number = this->through.size() - 1] { this->endCarried(number, {RelayOutcome::TimedOut, {}}); });
+        RelayHooks hooks;
+        hooks.sendDirect = [this](const execution::WorkerCall &, const OrderRelay::Done &done) { this->direct.push_back(done); };
+        hooks.sendVia = [this](const std::string &, const execution::WorkerCall &, Timestamp deadline, const std::function<void(const RelayResult &)> &done) {
+            this->viaRelay.push_back(done);
+            this->timers.emplace(deadline, [this, number = this->viaRelay.size() - 1] { this->endRelayed(number, {RelayOutcome::TimedOut, {}}); });
         };
-        made.runAt = [this](Timestamp at, const std::function<void()> &action) { this->timers.emplace(at, action); };
-        made.now = [this] { return this->now; };
-        return made;
+        hooks.runAt = [this](Timestamp at, const std::function<void()> &action) { this->timers.emplace(at, action); };
+        hooks.now = [this] { return this->now; };
+        return hooks;
     }
 
     void order(execution::Order order = execution::StartOrder{{"a", 0, 0, 0}, 1, "", "", ""},
@@ -47,10 +49,10 @@
         call.worker = {worker};
         call.timeout = absl::Milliseconds(900);
         call.order = std::move(order);
-        this->carrying.send({this->workerCount, dataCentre}, call, [this](const execution::WorkerAnswer &answer) { this->answers.push_back(answer.kind); });
+        this->orderRelay.send({this->workerCount, dataCentre}, call, [this](const execution::WorkerAnswer &answer) { this->answers.push_back(answer.kind); });
     }
 
-    void pass(Duration time)
+    void advance(Duration time)
     {
         const Timestamp end = this->now + time;
         while (!this->timers.empty() && this->timers.begin()->first <= end) {
@@ -62,16 +64,16 @@
         this->now = end;
     }
 
-    void endCarried(std::size_t number, const RelayResult &carried)
+    void endRelayed(std::size_t number, const RelayResult &relayed)
     {
-        if (const auto done = std::exchange(this->through.at(number), nullptr)) {
-            done(carried);
+        if (const auto done = std::exchange(this->viaRelay.at(number), nullptr)) {
+            done(relayed);
         }
     }
 
-    void answerCarried(std::size_t number, AnswerKind kind)
+    void answerRelayed(std::size_t number, AnswerKind kind)
     {
-        this->endCarried(number, {RelayOutcome::Answered, answerOf(kind)});
+        this->endRelayed(number, {RelayOutcome::Answered, answerOf(kind)});
     }
 
     static execution::WorkerAnswer answerOf(AnswerKind kind)
@@ -85,111 +87,111 @@
     Timestamp now = absl::UnixEpoch() + absl::Hours(1);
     std::multimap<Timestamp, std::function<void()>> timers;
     std::deque<OrderRelay::Done> direct;
-    std::deque<std::function<void(const RelayResult &)>> through;
+    std::deque<std::function<void(const RelayResult &)>> viaRelay;
     std::vector<AnswerKind> answers;
-    OrderRelay carrying;
+    OrderRelay orderRelay;
 };
 
 } // namespace
 
-TEST_CASE_METHOD(OrderCarryingFixture, "order_answeredInTime_goesOneWayOnly")
+TEST_CASE_METHOD(OrderRelayFixture, "order_answeredInTime_isNotHedged")
 {
     this->order();
-    REQUIRE(this->through.size() == 1);
-    this->pass(absl::Milliseconds(20));
-    this->answerCarried(0, AnswerKind::Accepted);
-    this->pass(absl::Seconds(2));
+    REQUIRE(this->viaRelay.size() == 1);
+    this->advance(absl::Milliseconds(20));
+    this->answerRelayed(0, AnswerKind::Accepted);
+    this->advance(absl::Seconds(2));
     CHECK(this->direct.empty());
     CHECK(this->answers == std::vector{AnswerKind::Accepted});
 }
 
-TEST_CASE_METHOD(OrderCarryingFixture, "start_throughALostInstance_isAnsweredDirectlyWithinAThirdOfASecond")
+TEST_CASE_METHOD(OrderRelayFixture, "start_relayLost_isHedgedWithinAThirdOfASecond")
 {
     this->order();
-    this->pass(absl::Milliseconds(300));
+    this->advance(absl::Milliseconds(300));
     REQUIRE(this->direct.size() == 1);
     this->direct[0](answerOf(AnswerKind::Accepted));
     CHECK(this->answers == std::vector{AnswerKind::Accepted});
-    // The next order doesn't go that way, and what comes of the first one later changes nothing.
+    // The next order doesn't use that relay, and a later result of the first one changes nothing.
     this->order();
     CHECK(this->direct.size() == 2);
-    CHECK(this->through.size() == 1);
-    this->pass(absl::Seconds(2));
+    CHECK(this->viaRelay.size() == 1);
+    this->advance(absl::Seconds(2));
     CHECK(this->answers.size() == 1);
 }
 
-TEST_CASE_METHOD(OrderCarryingFixture, "instance_thatAnswersOthers_isntBlamedForASilentWorker")
+TEST_CASE_METHOD(OrderRelayFixture, "relay_answeringOtherOrders_isNotExcludedForUnresponsiveWorker")
 {
     this->order();
-    this->pass(absl::Milliseconds(100));
+    this->advance(absl::Milliseconds(100));
     this->order();
-    this->answerCarried(1, AnswerKind::Accepted);
-    this->pass(absl::Milliseconds(200));
+    this->answerRelayed(1, AnswerKind::Accepted);
+    this->advance(absl::Milliseconds(200));
     CHECK(this->direct.size() == 1);
-    // The first one is left without an answer, but the second was brought.
+    // The first order has no answer, but the relay delivered the second.
     this->order();
-    CHECK(this->through.size() == 3);
+    CHECK(this->viaRelay.size() == 3);
 }
 
-TEST_CASE_METHOD(OrderCarryingFixture, "instance_thatAnswersNothing_isPassedOverWithinAThirdOfASecond")
+TEST_CASE_METHOD(OrderRelayFixture, "relay_answeringNothing_isExcludedWithinAThirdOfASecond")
 {
     this->order();
-    this->pass(absl::Milliseconds(100));
+    this->advance(absl::Milliseconds(100));
     this->order();
-    this->pass(absl::Milliseconds(200));
-    const std::size_t carried = this->through.size();
+    this->advance(absl::Milliseconds(200));
+    const std::size_t relayed = this->viaRelay.size();
     this->order();
     this->order(execution::PollOrder{});
-    CHECK(this->through.size() == carried);
+    CHECK(this->viaRelay.size() == relayed);
 }
 
-TEST_CASE_METHOD(OrderCarryingFixture, "refusal_whileTheOtherWayIsOpen_isntBelieved")
+TEST_CASE_METHOD(OrderRelayFixture, "refusal_otherAttemptPending_doesNotEndOrder")
 {
     this->order();
-    this->pass(absl::Milliseconds(300));
+    this->advance(absl::Milliseconds(300));
     this->direct.at(0)(answerOf(AnswerKind::BadTicket));
     CHECK(this->answers.empty());
-    SECTION("the carrier stays silent: the order may be carried out yet")
+    SECTION("the relay doesn't respond: the order may still be executed")
     {
-        this->pass(absl::Seconds(2));
+        this->advance(absl::Seconds(2));
         CHECK(this->answers == std::vector{AnswerKind::NoAnswer});
     }
-    SECTION("the carrier has brought it to the worker")
+    SECTION("the relay has delivered it to the worker")
     {
-        this->answerCarried(0, AnswerKind::Accepted);
+        this->answerRelayed(0, AnswerKind::Accepted);
         CHECK(this->answers == std::vector{AnswerKind::Accepted});
     }
-    SECTION("the worker refuses it a second time")
+    SECTION("the worker refuses the second copy too")
     {
-        this->answerCarried(0, AnswerKind::NoRoom);
+        this->answerRelayed(0, AnswerKind::NoRoom);
         CHECK(this->answers == std::vector{AnswerKind::BadTicket});
     }
-    SECTION("the carrier is stopping and has done nothing")
+    SECTION("the relay is stopping and hasn't sent it")
     {
-        this->endCarried(0, {RelayOutcome::Declined, {}});
+        this->endRelayed(0, {RelayOutcome::Declined, {}});
         REQUIRE(this->direct.size() == 2);
         this->direct[1](answerOf(AnswerKind::BadTicket));
         CHECK(this->answers == std::vector{AnswerKind::BadTicket});
     }
 }
 
-TEST_CASE_METHOD(OrderCarryingFixture, "refusalOverTheCarrier_whileItWasSentDirectlyToo_waitsForThatOne")
+TEST_CASE_METHOD(OrderRelayFixture, "refusalFromRelay_hedgePending_waitsForHedge")
 {
     this->order();
-    this->pass(absl::Milliseconds(300));
-    this->answerCarried(0, AnswerKind::Unhealthy);
+    this->advance(absl::Milliseconds(300));
+    this->answerRelayed(0, AnswerKind::Unhealthy);
     CHECK(this->answers.empty());
     this->direct.at(0)(answerOf(AnswerKind::Accepted));
     CHECK(this->answers == std::vector{AnswerKind::Accepted});
 }
 
-TEST_CASE_METHOD(OrderCarryingFixture, "start_leftUnansweredByItsWorker_isSentAgainInASmallCellToo")
+TEST_CASE_METHOD(OrderRelayFixture, "start_unansweredInSmallCell_isHedged")
 {
     this->workerCount = 40;
     this->order();
-    CHECK(this->through.empty());
+    CHECK(this->viaRelay.empty());
     REQUIRE(this->direct.size() == 1);
-    this->pass(absl::Milliseconds(300));
+    this->advance(absl::Milliseconds(300));
     REQUIRE(this->direct.size() == 2);
     this->direct[1](answerOf(AnswerKind::Accepted));
     CHECK(this->answers == std::vector{AnswerKind::Accepted});
@@ -197,83 +199,83 @@
     CHECK(this->answers.size() == 1);
 }
 
-TEST_CASE_METHOD(OrderCarryingFixture, "pollAndPace_throughASlowInstance_goOneWayOnly")
+TEST_CASE_METHOD(OrderRelayFixture, "pollAndPace_relaySlow_areNotHedged")
 {
     this->order(execution::PollOrder{});
     this->order(execution::PaceOrder{});
-    this->pass(absl::Milliseconds(1000));
+    this->advance(absl::Milliseconds(1000));
     CHECK(this->direct.empty());
-    this->pass(absl::Milliseconds(100));
+    this->advance(absl::Milliseconds(100));
     CHECK(this->answers == std::vector{AnswerKind::NoAnswer, AnswerKind::NoAnswer});
 }
 
-TEST_CASE_METHOD(OrderCarryingFixture, "orders_whileAllAnswersAreLate_areDoubledUpToABound")
+TEST_CASE_METHOD(OrderRelayFixture, "orders_allAnswersLate_areHedgedUpToBound")
 {
     for (int number = 0; number < 1000; ++number) {
         this->order();
     }
-    this->pass(absl::Milliseconds(300));
+    this->advance(absl::Milliseconds(300));
     CHECK(this->direct.size() == 100);
 }
 
-TEST_CASE_METHOD(OrderCarryingFixture, "watch_throughAnInstanceThatShowsItselfNoLonger_endsWithinASecond")
+TEST_CASE_METHOD(OrderRelayFixture, "watch_relayNotReportingPresence_endsWithinASecond")
 {
     this->order(execution::PollOrder{0, absl::Seconds(2), absl::Seconds(10)});
-    this->pass(absl::Milliseconds(800));
-    this->carrying.tick(this->now);
+    this->advance(absl::Milliseconds(800));
+    this->orderRelay.tick(this->now);
     CHECK(this->answers.empty());
-    this->pass(absl::Milliseconds(200));
-    this->carrying.tick(this->now);
+    this->advance(absl::Milliseconds(200));
+    this->orderRelay.tick(this->now);
     CHECK(this->answers == std::vector{AnswerKind::NoAnswer});
-    // What comes of it later changes nothing.
-    this->answerCarried(0, AnswerKind::Accepted);
-    this->pass(absl::Seconds(20));
+    // A later result changes nothing.
+    this->answerRelayed(0, AnswerKind::Accepted);
+    this->advance(absl::Seconds(20));
     CHECK(this->answers.size() == 1);
 }
 
-TEST_CASE_METHOD(OrderCarryingFixture, "watch_throughAnInstanceThatHasStartedAgain_ends")
+TEST_CASE_METHOD(OrderRelayFixture, "watch_relayRestarted_ends")
 {
     this->order(execution::PollOrder{0, absl::Seconds(2), absl::Seconds(10)});
-    this->carrying.markAlive(this->now, "north-1", "north");
+    this->orderRelay.markAlive(this->now, "north-1", "north");
     CHECK(this->answers.empty());
     constexpr std::uint64_t other = 2;
-    this->carrying.markAlive(this->now, "north-1", "north", other);
+    this->orderRelay.markAlive(this->now, "north-1", "north", other);
     CHECK(this->answers == std::vector{AnswerKind::NoAnswer});
 }
 
-TEST_CASE_METHOD(OrderCarryingFixture, "watch_answeredByItsCarrier_isOver")
+TEST_CASE_METHOD(OrderRelayFixture, "watch_answeredByRelay_hasEnded")
 {
     this->order(execution::PollOrder{0, absl::Seconds(2), absl::Seconds(10)});
-    this->pass(absl::Seconds(4));
-    this->carrying.markAlive(this->now, "north-1", "north");
-    this->answerCarried(0, AnswerKind::Accepted);
-    this->pass(absl::Seconds(2));
-    this->carrying.tick(this->now);
+    this->advance(absl::Seconds(4));
+    this->orderRelay.markAlive(this->now, "north-1", "north");
+    this->answerRelayed(0, AnswerKind::Accepted);
+    this->advance(absl::Seconds(2));
+    this->orderRelay.tick(this->now);
     CHECK(this->answers == std::vector{AnswerKind::Accepted});
 }
 
-TEST_CASE_METHOD(OrderCarryingFixture, "watches_ofManyInstancesThatLookSilent_endOneInstanceAfterTheOther")
+TEST_CASE_METHOD(OrderRelayFixture, "watches_manyRelaysUnresponsive_endOneRelayAtATime")
 {
     constexpr int instances = 8;
     for (int number = 0; number < instances; ++number) {
-        this->carrying.markAlive(this->now, absl::StrCat("south-", number), "south");
+        this->orderRelay.markAlive(this->now, absl::StrCat("south-", number), "south");
     }
     constexpr std::size_t orders = 200;
     for (std::size_t number = 0; number < orders; ++number) {
         this->order(execution::PollOrder{0, absl::Seconds(2), absl::Seconds(10)}, absl::StrCat("w", number), "south");
     }
-    this->pass(absl::Seconds(1));
-    this->carrying.tick(this->now);
-    this->carrying.tick(this->now + absl::Milliseconds(20));
+    this->advance(absl::Seconds(1));
+    this->orderRelay.tick(this->now);
+    this->orderRelay.tick(this->now + absl::Milliseconds(20));
     const std::size_t first = this->answers.size();
     CHECK(first > 0);
     CHECK(first < orders / 3);
-    // The others show themselves at last: their watches go on.
+    // The others report their presence at last: their watches continue.
     for (int number = 0; number < instances; ++number) {
-        this->carrying.markAlive(this->now, absl::StrCat("south-", number), "south");
+        this->orderRelay.markAlive(this->now, absl::StrCat("south-", number), "south");
     }
-    this->pass(absl::Milliseconds(200));
-    this->carrying.tick(this->now);
+    this->advance(absl::Milliseconds(200));
+    this->orderRelay.tick(this->now);
     CHECK(this->answers.size() == first);
 }
 
--- a/paddlepier/cluster/ports.h
+++ b/paddlepier/cluster/ports.h
@@ -1,6 +1,6 @@
-// What the cluster's processes need from the adapter that speaks to the platform.
+// Interface between the cluster's processes and the adapter that talks to the platform.
 //
-// Thread safety: the functions are called on the control thread and must not wait; what they are given to call back may be
+// Thread safety: the functions are called on the control thread and must not block; the callbacks passed to them may be
 // called from any thread.
 
 #ifndef PADDLEPIER_CLUSTER_PORTS_H
@@ -15,7 +15,7 @@
 {
 
 struct WorkerPort {
-    /** The leader's own port calls back on the control thread. */
+    /** The port that the leader's service uses calls back on the control thread. */
     std::function<void(const execution::WorkerCall &call, std::function<void(execution::WorkerAnswer)> done)> call;
 };
 
--- a/paddlepier/cluster/relaycodec.cpp
+++ b/paddlepier/cluster/relaycodec.cpp
@@ -1,4 +1,4 @@
-// Orders to workers and their answers as messages between core instances.
+// Encodes orders to workers, and their answers, as messages between core instances.
 
 #include "paddlepier/cluster/relaycodec.h"
 
@@ -19,13 +19,13 @@
 TaskKey keyOf(const std::unique_ptr<work::TaskKeyT> &record)
 {
     if (!record) {
-        throw InvalidArgumentError("a carried order or answer names no task");
+        throw InvalidArgumentError("relayed order or answer: task is missing");
     }
     return TaskKey(*record);
 }
 
 struct OrderEncoder {
-    work::CarriedOrderUnion &made;
+    work::CarriedOrderUnion &encoded;
 
     void operator()(const execution::PollOrder &order)
     {
@@ -33,7 +33,7 @@
         poll.lastSequence = order.lastSequence;
         poll.waitMillis = static_cast<std::uint32_t>(absl::ToInt64Milliseconds(order.wait));
         poll.watchMillis = static_cast<std::uint32_t>(absl::ToInt64Milliseconds(order.watch));
-        this->made.Set(poll);
+        this->encoded.Set(poll);
     }
 
     void operator()(const execution::StartOrder &order)
@@ -44,7 +44,7 @@
         start.payload = order.payload;
         start.checkpoint = order.checkpoint;
         start.ticket = order.ticket;
-        this->made.Set(std::move(start));
+        this->encoded.Set(std::move(start));
     }
 
     void operator()(const execution::StopOrder &order)
@@ -52,7 +52,7 @@
         work::StopCarriedT stop;
         stop.task = order.task.record();
         stop.run = order.run;
-        this->made.Set(std::move(stop));
+        this->encoded.Set(std::move(stop));
     }
 
     void operator()(const execution::PaceOrder &order)
@@ -61,97 +61,97 @@
         pace.task = order.task.record();
         pace.run = order.run;
         pace.percent = order.percent;
-        this->made.Set(std::move(pace));
+        this->encoded.Set(std::move(pace));
     }
 };
 
-execution::Order toOrder(const work::CarriedOrderUnion &carried)
+execution::Order toOrder(const work::CarriedOrderUnion &encoded)
 {
-    if (const auto *poll = carried.AsPollCarried()) {
+    if (const auto *poll = encoded.AsPollCarried()) {
         return execution::PollOrder{poll->lastSequence, absl::Milliseconds(poll->waitMillis), absl::Milliseconds(poll->watchMillis)};
     }
-    if (const auto *start = carried.AsStartCarried()) {
+    if (const auto *start = encoded.AsStartCarried()) {
         return execution::StartOrder{keyOf(start->task), start->run, start->payload, start->checkpoint, start->ticket};
     }
-    if (const auto *stop = carried.AsStopCarried()) {
+    if (const auto *stop = encoded.AsStopCarried()) {
         return execution::StopOrder{keyOf(stop->task), stop->run};
     }
-    if (const auto *pace = carried.AsPaceCarried()) {
+    if (const auto *pace = encoded.AsPaceCarried()) {
         return execution::PaceOrder{keyOf(pace->task), pace->run, pace->percent};
     }
-    throw InvalidArgumentError("a carried call has no order");
+    throw InvalidArgumentError("relayed call: order is missing");
 }
 
 } // namespace
 
 work::CarryCallT encodeRelayCall(const execution::WorkerCall &call)
 {
-    work::CarryCallT made;
-    made.worker = call.worker.id;
-    made.born = call.worker.born;
-    made.address = call.address;
-    made.fence = call.fence;
-    made.leaseEndOnWorkerClock = call.leaseEndOnWorkerClock;
-    made.timeoutMillis = static_cast<std::uint32_t>(absl::ToInt64Milliseconds(call.timeout));
-    std::visit(OrderEncoder{made.order}, call.order);
-    return made;
+    work::CarryCallT encoded;
+    encoded.worker = call.worker.id;
+    encoded.born = call.worker.born;
+    encoded.address = call.address;
+    encoded.fence = call.fence;
+    encoded.leaseEndOnWorkerClock = call.leaseEndOnWorkerClock;
+    encoded.timeoutMillis = static_cast<std::uint32_t>(absl::ToInt64Milliseconds(call.timeout));
+    std::visit(OrderEncoder{encoded.order}, call.order);
+    return encoded;
 }
 
 execution::WorkerCall decodeRelayCall(const work::CarryCallT &call)
 {
-    execution::WorkerCall made;
-    made.worker = {call.worker, call.born};
-    made.address = call.address;
-    made.fence = call.fence;
-    made.leaseEndOnWorkerClock = call.leaseEndOnWorkerClock;
-    made.timeout = absl::Milliseconds(call.timeoutMillis);
-    made.order = toOrder(call.order);
-    return made;
+    execution::WorkerCall decoded;
+    decoded.worker = {call.worker, call.born};
+    decoded.address = call.address;
+    decoded.fence = call.fence;
+    decoded.leaseEndOnWorkerClock = call.leaseEndOnWorkerClock;
+    decoded.timeout = absl::Milliseconds(call.timeoutMillis);
+    decoded.order = toOrder(call.order);
+    return decoded;
 }
 
 work::CarryReplyT encodeRelayReply(const execution::WorkerAnswer &answer)
 {
-    work::CarryReplyT made;
-    made.kind = static_cast<std::uint8_t>(answer.kind);
-    made.born = answer.born;
-    made.hasClock = answer.hasClock;
-    made.clockMillis = answer.clockMillis;
+    work::CarryReplyT encoded;
+    encoded.kind = static_cast<std::uint8_t>(answer.kind);
+    encoded.born = answer.born;
+    encoded.hasClock = answer.hasClock;
+    encoded.clockMillis = answer.clockMillis;
     for (const execution::ListedRun &run : answer.running) {
-        auto &carried = made.running.emplace_back(std::make_unique<work::CarriedRunT>());
-        carried->task = run.task.record();
-        carried->run = run.run;
-        carried->checkpoint = run.checkpoint;
-        carried->percent = run.percent;
-        carried->load = run.load;
+        auto &listed = encoded.running.emplace_back(std::make_unique<work::CarriedRunT>());
+        listed->task = run.task.record();
+        listed->run = run.run;
+        listed->checkpoint = run.checkpoint;
+        listed->percent = run.percent;
+        listed->load = run.load;
     }
     for (const execution::ListedEnd &end : answer.ended) {
-        auto &carried = made.ended.emplace_back(std::make_unique<work::RunEndT>());
-        carried->task = end.task.record();
-        carried->run = end.run;
-        carried->kind = end.kind;
-        carried->checkpoint = end.checkpoint;
-        carried->sequence = end.sequence;
+        auto &listed = encoded.ended.emplace_back(std::make_unique<work::RunEndT>());
+        listed->task = end.task.record();
+        listed->run = end.run;
+        listed->kind = end.kind;
+        listed->checkpoint = end.checkpoint;
+        listed->sequence = end.sequence;
     }
-    return made;
+    return encoded;
 }
 
 execution::WorkerAnswer decodeRelayReply(const work::CarryReplyT &reply)
 {
     if (reply.kind > lastAnswerKind) {
-        throw InvalidArgumentError(absl::StrCat("no kind of answer has the number ", reply.kind));
+        throw InvalidArgumentError(absl::StrCat("relayed answer: unknown kind ", reply.kind));
     }
-    execution::WorkerAnswer made;
-    made.kind = static_cast<execution::AnswerKind>(reply.kind);
-    made.born = reply.born;
-    made.hasClock = reply.hasClock;
-    made.clockMillis = reply.clockMillis;
+    execution::WorkerAnswer decoded;
+    decoded.kind = static_cast<execution::AnswerKind>(reply.kind);
+    decoded.born = reply.born;
+    decoded.hasClock = reply.hasClock;
+    decoded.clockMillis = reply.clockMillis;
     for (const auto &run : reply.running) {
-        made.running.push_back({keyOf(run->task), run->run, run->checkpoint, run->percent, run->load});
+        decoded.running.push_back({keyOf(run->task), run->run, run->checkpoint, run->percent, run->load});
     }
     for (const auto &end : reply.ended) {
-        made.ended.push_back({end->sequence, keyOf(end->task), end->run, end->kind, end->checkpoint});
+        decoded.ended.push_back({end->sequence, keyOf(end->task), end->run, end->kind, end->checkpoint});
     }
-    return made;
+    return decoded;
 }
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/relaypool.cpp
+++ b/paddlepier/cluster/relaypool.cpp
@@ -1,4 +1,4 @@
-// Chooses the core instance that carries an order to a worker out.
+// Chooses the core instance that relays an order to a worker.
 
 #include "paddlepier/cluster/relaypool.h"
 
@@ -13,18 +13,18 @@
 namespace
 {
 
-/** Workers that one process serves beside its decisions: a poll each half second and some two starts a second for each. */
-constexpr std::size_t mostWorkersOfLeader = 100;
+/** Workers that the leader's process can serve beside its decisions, at one poll each half second and some two starts a second per worker. */
+constexpr std::size_t maxWorkersOfLeader = 100;
 
-/** An instance that hasn't shown itself for this long carries nothing: four of its intervals. */
-constexpr Duration aliveFor = absl::Milliseconds(900);
+/** An instance that hasn't reported its presence for four intervals relays nothing. */
+constexpr Duration livenessTimeout = absl::Milliseconds(900);
 
-constexpr Duration avoidedAfterFailure = absl::Seconds(2);
+constexpr Duration failureAvoidanceTime = absl::Seconds(2);
 
-/** Workers that weren't reached and are remembered; lives that are over are among them. */
-constexpr std::size_t mostRemembered = 4096;
+/** Bound on remembered unreachable workers, which may include workers that no longer exist. */
+constexpr std::size_t maxUnreachableWorkers = 4096;
 
-/** The same in every process and run. */
+/** Must be the same in every process and run. */
 std::uint64_t weightOf(const std::string &instance, const std::string &worker, std::uint32_t round)
 {
     return XXH64(worker.data(), worker.size(), XXH64(instance.data(), instance.size(), round));
@@ -35,36 +35,36 @@
 bool RelayPool::markAlive(Timestamp now, const std::string &instance, const std::string &dataCentre, std::uint64_t incarnation)
 {
     const auto [entry, isNew] = this->relays.try_emplace(instance);
-    Relay &carrier = entry->second;
-    carrier.dataCentre = dataCentre;
-    carrier.lastSeenAt = now;
-    return std::exchange(carrier.incarnation, incarnation) == incarnation || isNew;
+    Relay &relay = entry->second;
+    relay.dataCentre = dataCentre;
+    relay.lastSeenAt = now;
+    return std::exchange(relay.incarnation, incarnation) == incarnation || isNew;
 }
 
 bool RelayPool::Relay::isAlive(Timestamp now) const
 {
-    return now - this->lastSeenAt <= aliveFor;
+    return now - this->lastSeenAt <= livenessTimeout;
 }
 
 bool RelayPool::isAlive(Timestamp now, const std::string &instance) const
 {
-    const auto carrier = this->relays.find(instance);
-    return carrier != this->relays.end() && carrier->second.isAlive(now);
+    const auto relay = this->relays.find(instance);
+    return relay != this->relays.end() && relay->second.isAlive(now);
 }
 
 bool RelayPool::recordFailure(Timestamp now, const std::string &instance)
 {
-    const auto carrier = this->relays.find(instance);
-    if (carrier == this->relays.end() || carrier->second.avoidedUntil > now) {
+    const auto relay = this->relays.find(instance);
+    if (relay == this->relays.end() || relay->second.avoidedUntil > now) {
         return false;
     }
-    carrier->second.avoidedUntil = now + avoidedAfterFailure;
+    relay->second.avoidedUntil = now + failureAvoidanceTime;
     return true;
 }
 
 void RelayPool::recordUnreachable(const std::string &worker)
 {
-    if (this->unreachableCounts.size() >= mostRemembered) {
+    if (this->unreachableCounts.size() >= maxUnreachableWorkers) {
         this->unreachableCounts.clear();
     }
     ++this->unreachableCounts[worker];
@@ -72,24 +72,24 @@
 
 std::string RelayPool::choose(Timestamp now, std::size_t workerCount, const std::string &worker, const std::string &dataCentre) const
 {
-    if (workerCount <= mostWorkersOfLeader) {
+    if (workerCount <= maxWorkersOfLeader) {
         return "";
     }
-    const auto missed = this->unreachableCounts.find(worker);
-    const std::uint32_t round = missed == this->unreachableCounts.end() ? 0 : missed->second;
+    const auto failures = this->unreachableCounts.find(worker);
+    const std::uint32_t round = failures == this->unreachableCounts.end() ? 0 : failures->second;
     const std::string *best = nullptr;
-    std::uint64_t mostWeight = 0;
+    std::uint64_t bestWeight = 0;
     bool isBestNear = false;
-    for (const auto &[instance, carrier] : this->relays) {
-        if (!carrier.isAlive(now) || carrier.avoidedUntil > now) {
+    for (const auto &[instance, relay] : this->relays) {
+        if (!relay.isAlive(now) || relay.avoidedUntil > now) {
             continue;
         }
-        // The highest weight wins, so that an instance that comes or goes moves its own workers alone.
+        // Rendezvous hashing: the highest weight wins, so that adding or removing an instance reassigns only its own workers.
         const std::uint64_t weight = weightOf(instance, worker, round);
-        const bool isNear = carrier.dataCentre == dataCentre && round % 2 == 0;
-        if (best == nullptr || (isNear && !isBestNear) || (isNear == isBestNear && weight > mostWeight)) {
+        const bool isNear = relay.dataCentre == dataCentre && round % 2 == 0;
+        if (best == nullptr || (isNear && !isBestNear) || (isNear == isBestNear && weight > bestWeight)) {
             best = &instance;
-            mostWeight = weight;
+            bestWeight = weight;
             isBestNear = isNear;
         }
     }
--- a/paddlepier/cluster/relaypool.h
+++ b/paddlepier/cluster/relaypool.h
@@ -1,16 +1,16 @@
-// Chooses the core instance that carries an order to a worker out.
+// Chooses the core instance that relays an order to a worker.
 //
-// The leader alone decides; to send an order and read its answer is work that any core instance can do. A cell that is
-// small enough for one process is served by the leader itself, without the way over another instance. In a larger one each
-// worker belongs to one instance, in its own data centre where there is one, so that connections are kept and used again.
-// An instance that has let an order go unanswered carries none for a while; the leader does.
+// Only the leader decides, but any core instance can send an order and read the answer. In a cell that is small enough
+// for one process the leader sends orders itself, without the detour over another instance. In a larger cell each
+// worker is assigned to one instance, in its own data centre if possible, so that connections are reused. An instance
+// that left an order unanswered relays none for a while; other instances do, or the leader if there is no other one.
 //
 // Example:
-//     carriers.noteAlive(now, instance, dataCentre);
-//     const std::string carrier = carriers.choose(now, workerCount, worker, dataCentre);
-//     if (carrier.empty()) { /* the leader itself */ }
+//     relays.markAlive(now, instance, dataCentre);
+//     const std::string relay = relays.choose(now, workerCount, worker, dataCentre);
+//     if (relay.empty()) { /* the leader sends the order itself */ }
 //
-// Thread safety: none; owned by the control thread. choose() costs O(core instances).
+// Thread safety: none; owned by the control thread. Cost: choose() is O(core instances).
 
 #ifndef PADDLEPIER_CLUSTER_RELAYPOOL_H
 #define PADDLEPIER_CLUSTER_RELAYPOOL_H
@@ -29,21 +29,21 @@
 {
 public:
     /**
-     * Another core instance has shown that it is there.
+     * Records that another core instance is reachable.
      *
-     * @param incarnation  another one after each of its starts
-     * @return false if it has started again: what it was to carry out is lost
+     * @param incarnation  a new value after each start of the instance
+     * @return false if the instance has restarted: the orders that it was relaying are lost
      */
     bool markAlive(Timestamp now, const std::string &instance, const std::string &dataCentre, std::uint64_t incarnation = 0);
-    /** It has shown itself lately. */
+    /** True if the instance has reported its presence recently. */
     bool isAlive(Timestamp now, const std::string &instance) const;
-    /** It has left an order without an answer. @return false if it is avoided already */
+    /** Records that the instance left an order unanswered. @return false if it is avoided already */
     bool recordFailure(Timestamp now, const std::string &instance);
 
-    /** An order to @p worker came to nothing: the next ones go another way, since the worker may be out of this one's reach alone. */
+    /** Records that an order didn't reach @p worker. Later orders use other relays, since the worker may be unreachable from this one only. */
     void recordUnreachable(const std::string &worker);
 
-    /** @return the instance that carries orders to @p worker, or an empty name for the leader itself */
+    /** @return the instance that relays orders to @p worker, or an empty name if the leader sends them itself */
     std::string choose(Timestamp now, std::size_t workerCount, const std::string &worker, const std::string &dataCentre) const;
 
 private:
@@ -58,8 +58,8 @@
 
     std::map<std::string, Relay> relays;
     /**
-     * How often workers weren't reached; each time another instance comes to be chosen, every other time of any data centre. By id,
-     * since it is about the way to a worker, whichever of its lives is there.
+     * Failed deliveries by worker id. Each failure changes the choice of the relay, and every other one also admits relays of any data
+     * centre. Keyed by id, not by incarnation, because it describes the network path to the worker.
      */
     std::map<std::string, std::uint32_t> unreachableCounts;
 };
--- a/paddlepier/cluster/relaypool_test.cpp
+++ b/paddlepier/cluster/relaypool_test.cpp
@@ -1,4 +1,5 @@
-// Which instance carries orders to which worker, and orders on their way over another instance.
+// Choice of relays, and encoding of relayed orders and answers. A worker that is unreachable from its relay must be tried
+// from others, and an instance that is gone or left an order unanswered must not be chosen.
 
 #include "paddlepier/cluster/relaypool.h"
 
@@ -20,19 +21,19 @@
 
 constexpr std::size_t manyWorkers = 350;
 
-class CarriersFixture
+class RelayPoolFixture
 {
 public:
-    CarriersFixture()
+    RelayPoolFixture()
     {
-        this->showAll();
+        this->markAllAlive();
     }
 
-    void showAll()
+    void markAllAlive()
     {
         for (const char *zone : {"north", "south"}) {
             for (const char *number : {"1", "2"}) {
-                this->carriers.markAlive(this->now, absl::StrCat(zone, "-", number), zone);
+                this->relays.markAlive(this->now, absl::StrCat(zone, "-", number), zone);
             }
         }
     }
@@ -41,23 +42,23 @@
     {
         std::map<std::string, int> found;
         for (int worker = 0; worker < 100; ++worker) {
-            ++found[this->carriers.choose(this->now, manyWorkers, absl::StrCat("w", worker), dataCentre)];
+            ++found[this->relays.choose(this->now, manyWorkers, absl::StrCat("w", worker), dataCentre)];
         }
         return found;
     }
 
-    RelayPool carriers;
+    RelayPool relays;
     Timestamp now = absl::UnixEpoch() + absl::Hours(1);
 };
 
 } // namespace
 
-TEST_CASE_METHOD(CarriersFixture, "choose_inASmallCell_isTheLeaderItself")
+TEST_CASE_METHOD(RelayPoolFixture, "choose_smallCell_leaderSendsItself")
 {
-    CHECK(this->carriers.choose(this->now, 48, "w1", "north").empty());
+    CHECK(this->relays.choose(this->now, 48, "w1", "north").empty());
 }
 
-TEST_CASE_METHOD(CarriersFixture, "choose_inALargeCell_sharesADataCentreOutOverItsOwnInstances")
+TEST_CASE_METHOD(RelayPoolFixture, "choose_largeCell_distributesWorkersOverInstancesOfTheirDataCentre")
 {
     const std::map<std::string, int> shares = this->shares("north");
     REQUIRE(shares.size() == 2);
@@ -65,38 +66,38 @@
     CHECK(shares.at("north-2") > 25);
 }
 
-TEST_CASE_METHOD(CarriersFixture, "choose_withoutAnInstanceInTheDataCentre_isOneOfAnother")
+TEST_CASE_METHOD(RelayPoolFixture, "choose_noInstanceInDataCentre_usesOthers")
 {
     CHECK(this->shares("west").size() == 4);
 }
 
-TEST_CASE_METHOD(CarriersFixture, "choose_afterAnOrderWithoutAnswer_avoidsThatInstanceForAWhile")
+TEST_CASE_METHOD(RelayPoolFixture, "choose_afterUnansweredOrder_avoidsThatInstanceTemporarily")
 {
-    this->carriers.recordFailure(this->now, "north-1");
+    this->relays.recordFailure(this->now, "north-1");
     CHECK(this->shares("north").size() == 1);
     this->now += absl::Seconds(3);
-    this->showAll();
+    this->markAllAlive();
     CHECK(this->shares("north").size() == 2);
 }
 
-TEST_CASE_METHOD(CarriersFixture, "choose_afterAWorkerWasNotReached_takesOtherWaysInTurn")
+TEST_CASE_METHOD(RelayPoolFixture, "choose_workerUnreachable_triesOtherRelays")
 {
-    std::set<std::string> ways;
+    std::set<std::string> chosen;
     for (int round = 0; round < 12; ++round) {
-        ways.insert(this->carriers.choose(this->now, manyWorkers, "w1", "north"));
-        this->carriers.recordUnreachable("w1");
+        chosen.insert(this->relays.choose(this->now, manyWorkers, "w1", "north"));
+        this->relays.recordUnreachable("w1");
     }
-    CHECK(ways.size() >= 3);
+    CHECK(chosen.size() >= 3);
     CHECK(this->shares("north").size() >= 2);
 }
 
-TEST_CASE_METHOD(CarriersFixture, "choose_whenNobodyShowsItself_isTheLeaderItself")
+TEST_CASE_METHOD(RelayPoolFixture, "choose_noInstanceReachable_leaderSendsItself")
 {
     this->now += absl::Seconds(2);
-    CHECK(this->carriers.choose(this->now, manyWorkers, "w1", "north").empty());
+    CHECK(this->relays.choose(this->now, manyWorkers, "w1", "north").empty());
 }
 
-TEST_CASE("carriedCall_ofEachKind_comesBackAsItWas")
+TEST_CASE("relayCall_ofEachOrderKind_roundTrips")
 {
     const workload::TaskKey task("a", 1, 2, 3);
     execution::WorkerCall call;
@@ -110,29 +111,29 @@
                                                                        execution::StopOrder{task, 2},
                                                                        execution::PaceOrder{task, 2, 40}}) {
         call.order = order;
-        const execution::WorkerCall back = decodeRelayCall(wire::unpack<work::CarryCallT>(wire::pack(encodeRelayCall(call))));
-        CHECK(back.worker == call.worker);
-        CHECK(back.address == call.address);
-        CHECK(back.fence == call.fence);
-        CHECK(back.leaseEndOnWorkerClock == call.leaseEndOnWorkerClock);
-        CHECK(back.timeout == call.timeout);
-        REQUIRE(back.order.index() == order.index());
-        if (const auto *start = std::get_if<execution::StartOrder>(&back.order)) {
+        const execution::WorkerCall decoded = decodeRelayCall(wire::unpack<work::CarryCallT>(wire::pack(encodeRelayCall(call))));
+        CHECK(decoded.worker == call.worker);
+        CHECK(decoded.address == call.address);
+        CHECK(decoded.fence == call.fence);
+        CHECK(decoded.leaseEndOnWorkerClock == call.leaseEndOnWorkerClock);
+        CHECK(decoded.timeout == call.timeout);
+        REQUIRE(decoded.order.index() == order.index());
+        if (const auto *start = std::get_if<execution::StartOrder>(&decoded.order)) {
             CHECK(start->task == task);
             CHECK(start->payload == "what");
             CHECK(start->checkpoint == "saved");
             CHECK(start->ticket == "ticket");
-        } else if (const auto *poll = std::get_if<execution::PollOrder>(&back.order)) {
+        } else if (const auto *poll = std::get_if<execution::PollOrder>(&decoded.order)) {
             CHECK(poll->lastSequence == 9);
             CHECK(poll->wait == absl::Milliseconds(500));
             CHECK(poll->watch == absl::Seconds(10));
-        } else if (const auto *pace = std::get_if<execution::PaceOrder>(&back.order)) {
+        } else if (const auto *pace = std::get_if<execution::PaceOrder>(&decoded.order)) {
             CHECK(pace->percent == 40);
         }
     }
 }
 
-TEST_CASE("carriedAnswer_withRunsAndEnds_comesBackAsItWas")
+TEST_CASE("relayReply_withRunsAndEnds_roundTrips")
 {
     execution::WorkerAnswer answer;
     answer.kind = execution::AnswerKind::Accepted;
@@ -140,19 +141,19 @@
     answer.clockMillis = 99;
     answer.running.push_back({workload::TaskKey("a", 0, 1, 2), 3, "saved", 50, 700});
     answer.ended.push_back({8, workload::TaskKey("b", 0, 0, 0), 1, work::RunEndKind::Done, ""});
-    const execution::WorkerAnswer back = decodeRelayReply(wire::unpack<work::CarryReplyT>(wire::pack(encodeRelayReply(answer))));
-    CHECK(back.kind == answer.kind);
-    CHECK(back.clockMillis == 99);
-    REQUIRE(back.running.size() == 1);
-    CHECK(back.running[0].task == answer.running[0].task);
-    CHECK(back.running[0].percent == 50);
-    CHECK(back.running[0].load == 700);
-    REQUIRE(back.ended.size() == 1);
-    CHECK(back.ended[0].sequence == 8);
-    CHECK(back.ended[0].kind == work::RunEndKind::Done);
+    const execution::WorkerAnswer decoded = decodeRelayReply(wire::unpack<work::CarryReplyT>(wire::pack(encodeRelayReply(answer))));
+    CHECK(decoded.kind == answer.kind);
+    CHECK(decoded.clockMillis == 99);
+    REQUIRE(decoded.running.size() == 1);
+    CHECK(decoded.running[0].task == answer.running[0].task);
+    CHECK(decoded.running[0].percent == 50);
+    CHECK(decoded.running[0].load == 700);
+    REQUIRE(decoded.ended.size() == 1);
+    CHECK(decoded.ended[0].sequence == 8);
+    CHECK(decoded.ended[0].kind == work::RunEndKind::Done);
 }
 
-TEST_CASE("carriedCall_withoutOrderOrAnswerOfNoKind_isRefused")
+TEST_CASE("decodeRelay_missingOrderOrUnknownAnswerKind_throws")
 {
     CHECK_THROWS_AS(decodeRelayCall(work::CarryCallT()), InvalidArgumentError);
     work::CarryReplyT reply;
--- a/paddlepier/cluster/servingwatchdog.h
+++ b/paddlepier/cluster/servingwatchdog.h
@@ -1,10 +1,11 @@
-// Notices a leader that leads and yet can't serve.
+// Detects a leader that can't serve calls.
 //
-// A leader serves while a majority has confirmed it a moment ago, as it reads their confirmations. One whose process is so slow that
-// it always reads them too late is kept by its followers, which hear from it, and answers nobody; it is better to let another lead.
+// A leader serves while a majority has recently confirmed it. If its process is so slow that it always reads the
+// confirmations too late, its followers still receive its heartbeats and don't replace it, although it answers no
+// calls. It should transfer the leadership then.
 //
 // Example:
-//     if (watch.note(now, leads, serves)) { node.handOver(now); }
+//     if (watchdog.update(now, leads, serves)) { node.transferLeadership(now); }
 //
 // Thread safety: none; owned by the control thread.
 
@@ -22,7 +23,7 @@
 class ServingWatchdog
 {
 public:
-    /** @return true if leadership is to be handed over; then not again before as much time has passed once more */
+    /** @return true if leadership should be transferred; not again until the same time has passed once more */
     bool update(Timestamp now, bool leads, bool serves)
     {
         if (!leads || serves) {
@@ -37,7 +38,7 @@
     }
 
 private:
-    /** When it last served, or didn't lead. */
+    /** When the replica last served, or wasn't leader. */
     Timestamp lastServedAt = absl::InfiniteFuture();
 };
 
--- a/paddlepier/cluster/servingwatchdog_test.cpp
+++ b/paddlepier/cluster/servingwatchdog_test.cpp
@@ -1,4 +1,4 @@
-// A leader that can't serve gives its place up.
+// A leader that can't serve transfers its leadership: its followers still receive its heartbeats and don't replace it.
 
 #include "paddlepier/cluster/servingwatchdog.h"
 
@@ -10,36 +10,36 @@
 namespace
 {
 
-class ServingWatchFixture
+class ServingWatchdogFixture
 {
 public:
-    /** @return how often it asked for a hand-over */
-    int pass(Duration time, bool leads, bool serves)
+    /** @return number of transfers requested */
+    int advance(Duration time, bool leads, bool serves)
     {
-        int asked = 0;
+        int transfers = 0;
         for (const Timestamp end = this->now + time; this->now < end; this->now += absl::Milliseconds(20)) {
-            asked += this->watch.update(this->now, leads, serves) ? 1 : 0;
+            transfers += this->watchdog.update(this->now, leads, serves) ? 1 : 0;
         }
-        return asked;
+        return transfers;
     }
 
-    ServingWatchdog watch;
+    ServingWatchdog watchdog;
     Timestamp now = absl::UnixEpoch() + absl::Hours(1);
 };
 
 } // namespace
 
-TEST_CASE_METHOD(ServingWatchFixture, "leader_thatNeverServes_handsOverOnceEachTime")
+TEST_CASE_METHOD(ServingWatchdogFixture, "leader_neverServing_transfersOncePerInterval")
 {
-    CHECK(this->pass(absl::Seconds(1), false, false) == 0);
-    CHECK(this->pass(absl::Seconds(4), true, false) == 2);
+    CHECK(this->advance(absl::Seconds(1), false, false) == 0);
+    CHECK(this->advance(absl::Seconds(4), true, false) == 2);
 }
 
-TEST_CASE_METHOD(ServingWatchFixture, "leader_thatServesWithPauses_keepsItsPlace")
+TEST_CASE_METHOD(ServingWatchdogFixture, "leader_servingWithPauses_isKept")
 {
     for (int round = 0; round < 5; ++round) {
-        CHECK(this->pass(absl::Seconds(1), true, false) == 0);
-        CHECK(this->pass(absl::Milliseconds(40), true, true) == 0);
+        CHECK(this->advance(absl::Seconds(1), true, false) == 0);
+        CHECK(this->advance(absl::Milliseconds(40), true, true) == 0);
     }
 }
 
--- a/paddlepier/cluster/workcalls.cpp
+++ b/paddlepier/cluster/workcalls.cpp
@@ -1,4 +1,4 @@
-// Names of the calls between instances.
+// Names of calls between instances.
 
 #include "paddlepier/cluster/workcalls.h"
 
--- a/paddlepier/cluster/workcalls.h
+++ b/paddlepier/cluster/workcalls.h
@@ -1,4 +1,4 @@
-// Calls between instances about the workload, and what comes of them.
+// Calls between instances about the workload, and their results.
 //
 // Thread safety: plain values.
 
@@ -21,9 +21,9 @@
 const char *nameOf(WorkMethod method);
 std::optional<WorkMethod> workMethodFromName(std::string_view name);
 
-/** End of a call to the leader. */
+/** Result of a call to the leader. */
 struct CallResult {
-    /** None, or why no leader answered: NotLeader (certainly not taken) or Timeout (may have been taken, or may be yet). */
+    /** None, or why there is no answer: NotLeader (certainly not accepted) or Timeout (may have been accepted, or may be later). */
     ErrorCode error = ErrorCode::None;
     work::WorkReplyT reply;
 };
--- a/paddlepier/cluster/workerwatch.cpp
+++ b/paddlepier/cluster/workerwatch.cpp
@@ -1,4 +1,4 @@
-// Carries polls out for the leader, and repeats those of idle workers until one of them changes.
+// Executes polls for the leader, and repeats those of idle workers until something changes.
 
 #include "paddlepier/cluster/workerwatch.h"
 
@@ -11,8 +11,8 @@
 namespace paddlepier::cluster
 {
 
-WorkerWatch::WorkerWatch(WatchHooks watchWays)
-    : hooks(std::move(watchWays))
+WorkerWatch::WorkerWatch(WatchHooks watchHooks)
+    : hooks(std::move(watchHooks))
 {
 }
 
@@ -60,10 +60,10 @@
 
 bool WorkerWatch::shouldRepeat(const Watch &watch, const execution::WorkerAnswer &answer) const
 {
-    // Every life has a clock of its own; of a worker that doesn't tell its birth only that shows another one.
-    const bool isClockSet = answer.hasClock && answer.clockMillis < watch.clockMillis.value_or(answer.clockMillis);
+    // Each incarnation has its own clock. For a worker that doesn't report its start, a clock that went back is the only sign of a new one.
+    const bool isClockSetBack = answer.hasClock && answer.clockMillis < watch.clockMillis.value_or(answer.clockMillis);
     const bool isInTime = this->hooks.now() + watch.order.wait <= watch.expiresAt;
-    return this->isNewest(watch) && isInTime && !isClockSet && execution::reportsNoChange(watch.call, watch.order, answer)
+    return this->isNewest(watch) && isInTime && !isClockSetBack && execution::reportsNoChange(watch.call, watch.order, answer)
            && this->hooks.isServing(watch.leader);
 }
 
--- a/paddlepier/cluster/workerwatch_test.cpp
+++ b/paddlepier/cluster/workerwatch_test.cpp
@@ -1,4 +1,5 @@
-// Polls that another instance repeats for the leader, in virtual time.
+// Polls that a relay repeats for the leader, in virtual time. A change that the relay doesn't report stays unknown to the
+// leader until the watch expires; an end that is acknowledged to a new incarnation under an old number is lost.
 
 #include "paddlepier/cluster/workerwatch.h"
 
@@ -21,20 +22,20 @@
 {
 public:
     WorkerWatchFixture()
-        : watch(this->ways())
+        : watch(this->makeHooks())
     {
     }
 
-    WatchHooks ways()
+    WatchHooks makeHooks()
     {
-        WatchHooks made;
-        made.call = [this](const execution::WorkerCall &call, WatchHooks::Answered done) { this->polls.push_back({call, std::move(done)}); };
-        made.isServing = [this](const std::string &leader) { return leader == this->leader; };
-        made.now = [this] { return this->now; };
-        return made;
+        WatchHooks hooks;
+        hooks.call = [this](const execution::WorkerCall &call, WatchHooks::Answered done) { this->polls.push_back({call, std::move(done)}); };
+        hooks.isServing = [this](const std::string &leader) { return leader == this->leader; };
+        hooks.now = [this] { return this->now; };
+        return hooks;
     }
 
-    /** A poll that may be held back for 2 s, of a worker with seven ends that are recorded. */
+    /** Polls a worker whose first seven ends are recorded; the worker may delay its answer by 2 s. */
     void poll(Duration watchTime = absl::Seconds(10))
     {
         execution::WorkerCall call;
@@ -43,7 +44,7 @@
         this->watch.poll("core-1", call, [this](const WorkerAnswer &answer) { this->answers.push_back(answer.kind); });
     }
 
-    /** The worker answers the poll that came last, @p late before the control thread takes the answer. */
+    /** Answers the latest poll; the control thread processes the answer @p late afterwards. */
     void answer(const WorkerAnswer &answer, Duration late = absl::ZeroDuration())
     {
         const WatchHooks::Answered done = std::move(this->polls.back().second);
@@ -76,7 +77,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(WorkerWatchFixture, "idleWorker_isPolledAgainForAsLongAsTheOrderAllows")
+TEST_CASE_METHOD(WorkerWatchFixture, "idleWorker_watched_isPolledUntilWatchExpires")
 {
     this->poll();
     for (int answered = 0; answered < 20 && this->answers.empty(); ++answered) {
@@ -88,7 +89,7 @@
     CHECK(this->watch.size() == 0);
 }
 
-TEST_CASE_METHOD(WorkerWatchFixture, "pollWithoutAWatch_isAnsweredAtOnce")
+TEST_CASE_METHOD(WorkerWatchFixture, "poll_withoutWatch_isAnsweredAtOnce")
 {
     this->poll(absl::ZeroDuration());
     this->answer(idle());
@@ -96,7 +97,7 @@
     CHECK(this->polls.size() == 1);
 }
 
-TEST_CASE_METHOD(WorkerWatchFixture, "changeOfAWatchedWorker_isReportedAtOnce")
+TEST_CASE_METHOD(WorkerWatchFixture, "watchedWorker_anyChange_isReportedAtOnce")
 {
     WorkerAnswer change = idle();
     SECTION("a run")
@@ -107,11 +108,11 @@
     {
         change.ended.push_back({8, workload::TaskKey("a", 0, 0, 0), 1, work::RunEndKind::Done, ""});
     }
-    SECTION("another life")
+    SECTION("another incarnation")
     {
         change.born = 6;
     }
-    SECTION("a clock that was set back")
+    SECTION("a clock that went back")
     {
         change.clockMillis = 20;
     }
@@ -119,7 +120,7 @@
     {
         change.kind = AnswerKind::Fenced;
     }
-    SECTION("silence")
+    SECTION("no answer")
     {
         change = WorkerAnswer();
     }
@@ -131,7 +132,7 @@
     CHECK(this->polls.size() == 2);
 }
 
-TEST_CASE_METHOD(WorkerWatchFixture, "endThatIsRecorded_isNoChange")
+TEST_CASE_METHOD(WorkerWatchFixture, "watchedWorker_listingRecordedEnd_isNoChange")
 {
     WorkerAnswer listed = idle();
     listed.ended.push_back({7, workload::TaskKey("a", 0, 0, 0), 1, work::RunEndKind::Done, ""});
@@ -140,7 +141,7 @@
     CHECK(this->answers.empty());
 }
 
-TEST_CASE_METHOD(WorkerWatchFixture, "watch_forALeaderThatLeadsNoMore_ends")
+TEST_CASE_METHOD(WorkerWatchFixture, "watch_leaderReplaced_ends")
 {
     this->poll();
     this->answer(idle());
@@ -150,7 +151,7 @@
     CHECK(this->polls.size() == 2);
 }
 
-TEST_CASE_METHOD(WorkerWatchFixture, "watch_thatANewerPollReplaces_ends")
+TEST_CASE_METHOD(WorkerWatchFixture, "watch_newerPollOfSameIncarnation_ends")
 {
     this->poll();
     const auto first = this->polls.back();
@@ -163,13 +164,13 @@
     CHECK(this->polls.size() == 3);
 }
 
-TEST_CASE_METHOD(WorkerWatchFixture, "ends_areAcknowledgedAgainOnlyRightAfterAnAnswer")
+TEST_CASE_METHOD(WorkerWatchFixture, "ends_repeatedPoll_areAcknowledgedOnlyRightAfterAnswer")
 {
     this->poll();
     CHECK(this->lastSequence() == 7);
     this->answer(idle(), absl::Milliseconds(50));
     CHECK(this->lastSequence() == 7);
-    // Another life may have begun in this time, which would forget ends of its own by that number.
+    // A new incarnation may have started in this time, and would discard its own ends for the old number.
     this->answer(idle(), absl::Milliseconds(400));
     CHECK(this->lastSequence() == 0);
     this->answer(idle(), absl::Milliseconds(50));
--- a/paddlepier/cluster/workservice.cpp
+++ b/paddlepier/cluster/workservice.cpp
@@ -1,4 +1,4 @@
-// The leader's answers to calls, for one term.
+// The leader's service for calls, for one term.
 
 #include "paddlepier/cluster/workservice.h"
 
@@ -19,15 +19,15 @@
 
 constexpr std::size_t jobIdDigits = 16;
 
-/** Clocks of sound machines differ by seconds. */
-constexpr Duration mostClockDifference = absl::Hours(1);
+/** Clocks of healthy machines differ by seconds only. */
+constexpr Duration maxClockDifference = absl::Hours(1);
 
-/** When a refused caller should come back: about an election. */
+/** Retry interval of a refused caller: about the duration of an election. */
 constexpr std::uint32_t retryAfterMillis = 1000;
 
 /**
- * A question is asked again through another instance when its answer is this late, and half of its cost: a caller that was
- * killed or cut off doesn't say so, and a quick job has about a second to spare.
+ * Added to the expected time of a request, with half of its cost; after that it is sent through another instance. An instance that was
+ * killed or cut off sends no error, and a quick job has about a second of slack.
  */
 constexpr Duration adviceSlack = absl::Milliseconds(120);
 
@@ -61,14 +61,14 @@
 WorkService::WorkService(WorkloadNode &workloadNode,
                          const WorkOptions &options,
                          WorkerPort workerPort,
-                         RequestAdviceVia askThrough,
+                         RequestAdviceVia adviceSender,
                          AdviceCallerPool &adviceCallers,
                          Counters &processCounters,
                          Timestamp now)
     : node(workloadNode)
     , callerKeys(options.callerKeys)
     , workers(std::move(workerPort))
-    , requestAdviceVia(std::move(askThrough))
+    , requestAdviceVia(std::move(adviceSender))
     , callers(adviceCallers)
     , counters(processCounters)
     , submittedJobs(processCounters.counter("jobs_submitted_total"))
@@ -100,8 +100,8 @@
 
 void WorkService::proposeAndReply(work::CommandUnion command, work::WorkReplyT reply, const CallDone &done)
 {
-    this->propose(std::move(command), [this, alive = this->isTermActive, reply = std::move(reply), done](const workload::Outcome &outcome) {
-        if (*alive) {
+    this->propose(std::move(command), [this, isActive = this->isTermActive, reply = std::move(reply), done](const workload::Outcome &outcome) {
+        if (*isActive) {
             this->dispatcher.markChanged();
         }
         CallResult result;
@@ -149,7 +149,7 @@
     case WorkMethod::Carry:
         break;
     }
-    done(answer(work::CallOutcome::Invalid, "not a call to a leader"));
+    done(answer(work::CallOutcome::Invalid, "not a call that a leader handles"));
 }
 
 void WorkService::handleJob(const work::JobCallT &call, const CallDone &done)
@@ -160,12 +160,12 @@
     }
     const work::QueueSpecT *queue = this->node.state().findQueue(call.host, call.path);
     if (queue == nullptr) {
-        done(answer(work::CallOutcome::UnknownQueue, "no queue has this host and path"));
+        done(answer(work::CallOutcome::UnknownQueue, "no queue matches this host and path"));
         return;
     }
     const std::optional<std::string> team = authenticate(this->node.state().teams(), *queue, call.key, this->callerKeys);
     if (!team) {
-        done(answer(work::CallOutcome::Unauthenticated, call.key.empty() ? "this queue asks for a key" : "no team has this key"));
+        done(answer(work::CallOutcome::Unauthenticated, call.key.empty() ? "this queue requires a key" : "the key belongs to no team"));
         return;
     }
     const std::string id = call.path.substr(queue->pathPrefix.size());
@@ -176,7 +176,7 @@
         return;
     }
     if (!isJobId(id)) {
-        done(answer(work::CallOutcome::Invalid, "a job's id has 16 hexadecimal digits"));
+        done(answer(work::CallOutcome::Invalid, "a job id must have 16 hexadecimal digits"));
         return;
     }
     const JobRequest request{*queue, id, *team};
@@ -194,10 +194,10 @@
 {
     const auto &[queue, id, team] = request;
     if (const workload::Job *known = this->node.state().findJob(id)) {
-        done(canView(*known, queue, team) ? answer(work::CallOutcome::Accepted) : answer(work::CallOutcome::Refused, "another job has this id"));
+        done(canView(*known, queue, team) ? answer(work::CallOutcome::Accepted) : answer(work::CallOutcome::Refused, "the job id is in use"));
         return;
     }
-    const std::string problem = call.spec ? workload::validationError(*call.spec) : "no job";
+    const std::string problem = call.spec ? workload::validationError(*call.spec) : "the job specification is missing";
     if (!problem.empty()) {
         log::info("jobs", "job.invalid", {{"job", id}, {"queue", queue.name}, {"problem", problem}});
         done(answer(work::CallOutcome::Invalid, problem));
@@ -224,7 +224,7 @@
 {
     const workload::Job *job = this->node.state().findJob(request.id);
     if (job == nullptr || job->queue().name != request.queue.name || !canView(*job, request.queue, request.team)) {
-        done(answer(work::CallOutcome::UnknownJob, "no such job"));
+        done(answer(work::CallOutcome::UnknownJob, "unknown job"));
         return;
     }
     CallResult result = answer(work::CallOutcome::Accepted);
@@ -237,7 +237,7 @@
 {
     const workload::Job *job = this->node.state().findJob(request.id);
     if (job == nullptr || !canView(*job, request.queue, request.team)) {
-        done(answer(work::CallOutcome::UnknownJob, "no such job"));
+        done(answer(work::CallOutcome::UnknownJob, "unknown job"));
         return;
     }
     log::info("jobs", "job.cancelled", {{"job", request.id}});
@@ -250,20 +250,20 @@
 {
     const work::RegisterWorkerT &registration = *call.registration;
     const workload::Worker *known = this->node.state().findLatestWorker(registration.id);
-    // Before the first configuration any worker may come; it counts once a configuration names its service.
-    const bool mayNameAny = this->node.state().configuration().version == 0 || (known != nullptr && known->registration.service == registration.service);
-    if (!mayNameAny && this->node.state().findService(registration.service) == nullptr) {
+    // Before the first configuration any worker may join; it is used once a configuration contains its service.
+    const bool isServiceAccepted = this->node.state().configuration().version == 0 || (known != nullptr && known->registration.service == registration.service);
+    if (!isServiceAccepted && this->node.state().findService(registration.service) == nullptr) {
         return AnnouncementFault::UnknownService;
     }
     if (this->dispatcher.isImplausibleAnnouncement(workload::incarnationOf(registration), call.sequence)) {
         return AnnouncementFault::ImplausibleSequence;
     }
-    // A worker that has once told when it was born always does.
+    // A worker that has reported its start once always does.
     if (registration.born == 0 && known != nullptr && known->registration.born > 0) {
         return AnnouncementFault::FieldMissing;
     }
-    // Every true record of its worker would look like an earlier life's after it.
-    if (absl::FromUnixMillis(static_cast<std::int64_t>(registration.born)) > absl::FromUnixMicros(wallMicros()) + mostClockDifference) {
+    // Accepting it would make every genuine announcement of this worker look like one of an earlier incarnation.
+    if (absl::FromUnixMillis(static_cast<std::int64_t>(registration.born)) > absl::FromUnixMicros(wallMicros()) + maxClockDifference) {
         return AnnouncementFault::ImplausibleBirth;
     }
     return std::nullopt;
@@ -277,17 +277,17 @@
         done(answer(work::CallOutcome::Refused, nameOf(*fault)));
         return;
     }
-    const workload::Incarnation life = workload::incarnationOf(registration);
-    const workload::Worker *known = this->node.state().findWorker(life);
-    const workload::Worker *latest = this->node.state().findLatestWorker(life.id);
-    const bool isOver = latest != nullptr && workload::incarnationOf(latest->registration).isAfter(life);
-    const bool isStale = known != nullptr && (call.sequence < known->registration.sequence || this->dispatcher.isStaleAnnouncement(life, call.sequence));
-    if (isOver || isStale) {
+    const workload::Incarnation incarnation = workload::incarnationOf(registration);
+    const workload::Worker *known = this->node.state().findWorker(incarnation);
+    const workload::Worker *latest = this->node.state().findLatestWorker(incarnation.id);
+    const bool isOutdated = latest != nullptr && workload::incarnationOf(latest->registration).isAfter(incarnation);
+    const bool isStale = known != nullptr && (call.sequence < known->registration.sequence || this->dispatcher.isStaleAnnouncement(incarnation, call.sequence));
+    if (isOutdated || isStale) {
         done(answer(work::CallOutcome::Accepted));
         return;
     }
     const Duration drainRemaining = registration.isDraining ? absl::Milliseconds(call.drainRemainingMillis) : absl::InfiniteDuration();
-    this->dispatcher.recordAnnouncement(now, life, call.sequence, drainRemaining);
+    this->dispatcher.recordAnnouncement(now, incarnation, call.sequence, drainRemaining);
     if (known != nullptr && (workload::isSameRegistration(known->registration, registration) || (known->registration.isDraining && !registration.isDraining))) {
         done(answer(work::CallOutcome::Accepted));
         return;
@@ -296,7 +296,7 @@
               known != nullptr    ? "worker.changed"
               : latest != nullptr ? "worker.restarted"
                                   : "worker.joined",
-              {{"worker", life.text()},
+              {{"worker", incarnation.text()},
                {"address", registration.address},
                {"service", registration.service},
                {"draining", registration.isDraining},
@@ -313,9 +313,10 @@
 void WorkService::recordHeartbeats(Timestamp now, const work::HeartbeatsCallT &call, const CallDone &done)
 {
     for (const auto &heartbeat : call.heartbeats) {
-        const workload::Incarnation life{heartbeat->worker, heartbeat->born};
-        if (!this->dispatcher.isStaleAnnouncement(life, heartbeat->sequence) && !this->dispatcher.isImplausibleAnnouncement(life, heartbeat->sequence)) {
-            this->dispatcher.recordAnnouncement(now, life, heartbeat->sequence, absl::InfiniteDuration());
+        const workload::Incarnation incarnation{heartbeat->worker, heartbeat->born};
+        if (!this->dispatcher.isStaleAnnouncement(incarnation, heartbeat->sequence)
+            && !this->dispatcher.isImplausibleAnnouncement(incarnation, heartbeat->sequence)) {
+            this->dispatcher.recordAnnouncement(now, incarnation, heartbeat->sequence, absl::InfiniteDuration());
         }
     }
     done(answer(work::CallOutcome::Accepted));
@@ -325,39 +326,39 @@
 {
     const workload::Worker *latest = this->node.state().findLatestWorker(call.id);
     if (call.born > 0) {
-        const workload::Incarnation life{call.id, call.born};
-        return this->node.state().findWorker(life) == nullptr ? std::nullopt : std::optional(life);
+        const workload::Incarnation incarnation{call.id, call.born};
+        return this->node.state().findWorker(incarnation) == nullptr ? std::nullopt : std::optional(incarnation);
     }
     if (latest == nullptr || latest->registration.born == 0) {
         return workload::Incarnation{call.id};
     }
-    // It may be late, from an earlier life: only one that was about to leave can have sent it.
-    const workload::Incarnation life = workload::incarnationOf(latest->registration);
-    return this->dispatcher.mayHaveLeft(now, life) ? std::optional(life) : std::nullopt;
+    // A withdrawal without a start time may be a late one of an earlier incarnation: it counts only if the latest one was about to leave.
+    const workload::Incarnation incarnation = workload::incarnationOf(latest->registration);
+    return this->dispatcher.mayHaveLeft(now, incarnation) ? std::optional(incarnation) : std::nullopt;
 }
 
 void WorkService::withdraw(Timestamp now, const work::WithdrawCallT &call, const CallDone &done)
 {
-    const std::optional<workload::Incarnation> life = this->withdrawnIncarnation(now, call);
-    if (!life) {
+    const std::optional<workload::Incarnation> incarnation = this->withdrawnIncarnation(now, call);
+    if (!incarnation) {
         log::info("workers", "withdrawal.late", {{"worker", workload::Incarnation{call.id, call.born}.text()}});
         done(answer(work::CallOutcome::Accepted));
         return;
     }
-    log::info("workers", "worker.left", {{"worker", life->text()}});
+    log::info("workers", "worker.left", {{"worker", incarnation->text()}});
     work::RemoveWorkerT command;
-    command.id = life->id;
-    command.born = life->born;
+    command.id = incarnation->id;
+    command.born = incarnation->born;
     this->proposeAndReply(toCommand(std::move(command)), answer(work::CallOutcome::Accepted).reply, done);
 }
 
 void WorkService::configure(work::ConfigureCallT call, const CallDone &done)
 {
-    const work::ChangeConfigurationT &held = this->node.state().configuration();
-    const bool isNewer = call.change->version > held.version;
+    const work::ChangeConfigurationT &current = this->node.state().configuration();
+    const bool isNewer = call.change->version > current.version;
     log::info("configuration",
               isNewer ? "configuration.proposed" : "configuration.kept",
-              {{"version", call.change->version}, {"held", held.version}, {"sameText", call.change->text == held.text}});
+              {{"version", call.change->version}, {"held", current.version}, {"sameText", call.change->text == current.text}});
     if (!isNewer) {
         done(answer(work::CallOutcome::Accepted));
         return;
@@ -381,13 +382,13 @@
 void WorkService::evacuate(work::EvacuateCallT call, const CallDone &done)
 {
     if (!call.change || call.change->dataCentre.empty()) {
-        done(answer(work::CallOutcome::Invalid, "an evacuation names a data centre"));
+        done(answer(work::CallOutcome::Invalid, "an evacuation must name a data centre"));
         return;
     }
-    const bool isHeld = this->node.state().evacuatedDataCentres().contains(call.change->dataCentre) == call.change->isEvacuated;
-    const std::string event = absl::StrCat(call.change->isEvacuated ? "evacuation." : "evacuation-end.", isHeld ? "kept" : "proposed");
+    const bool isUnchanged = this->node.state().evacuatedDataCentres().contains(call.change->dataCentre) == call.change->isEvacuated;
+    const std::string event = absl::StrCat(call.change->isEvacuated ? "evacuation." : "evacuation-end.", isUnchanged ? "kept" : "proposed");
     log::info("operations", event, {{"dataCentre", call.change->dataCentre}, {"evacuated", this->node.state().evacuatedDataCentres().size()}});
-    this->evacuationChanges.add(isHeld ? 0 : 1);
+    this->evacuationChanges.add(isUnchanged ? 0 : 1);
     this->proposeAndReply(toCommand(std::move(*call.change)), answer(work::CallOutcome::Accepted).reply, done);
 }
 
@@ -401,38 +402,39 @@
     done(result);
 }
 
-void WorkService::requestAdvice(Timestamp now, const execution::AdviceRequest &question)
+void WorkService::requestAdvice(Timestamp now, const execution::AdviceRequest &adviceRequest)
 {
-    const AssignedCaller choice = this->callers.assignCaller(now, question.decisionTime);
+    const AssignedCaller choice = this->callers.assignCaller(now, adviceRequest.decisionTime);
     const std::string &caller = choice.instance;
     if (caller.empty()) {
-        this->dispatcher.handleAdvice(now, question.id, {});
+        this->dispatcher.handleAdvice(now, adviceRequest.id, {});
         return;
     }
     work::AdviceCallT call;
-    call.step = question.step.text();
-    std::transform(
-        question.workers.begin(), question.workers.end(), std::back_inserter(call.workers), [](const workload::Incarnation &life) { return life.id; });
+    call.step = adviceRequest.step.text();
+    std::transform(adviceRequest.workers.begin(), adviceRequest.workers.end(), std::back_inserter(call.workers), [](const workload::Incarnation &incarnation) {
+        return incarnation.id;
+    });
     this->adviceCalls.add();
-    const Timestamp deadline = choice.expectedAt + adviceSlack + question.decisionTime / 2;
-    this->requestAdviceVia(caller, call, deadline, [this, alive = this->isTermActive, caller, now, question](const execution::AdviceAnswer &received) {
-        if (!*alive) {
+    const Timestamp deadline = choice.expectedAt + adviceSlack + adviceRequest.decisionTime / 2;
+    this->requestAdviceVia(caller, call, deadline, [this, isActive = this->isTermActive, caller, now, adviceRequest](const execution::AdviceAnswer &received) {
+        if (!*isActive) {
             return;
         }
         const Timestamp answeredAt = controlNow();
         log::info("advice",
                   received.isAnswered ? "advice.answered" : "advice.failed",
-                  {{"step", question.step.text()},
+                  {{"step", adviceRequest.step.text()},
                    {"caller", caller},
-                   {"asked", question.workers.size()},
+                   {"asked", adviceRequest.workers.size()},
                    {"permitted", received.tickets.size()},
                    {"millis", absl::ToInt64Milliseconds(answeredAt - now)},
-                   {"expectedMillis", absl::ToInt64Milliseconds(question.decisionTime)}});
-        this->callers.recordCompletion(answeredAt, caller, question.decisionTime);
+                   {"expectedMillis", absl::ToInt64Milliseconds(adviceRequest.decisionTime)}});
+        this->callers.recordCompletion(answeredAt, caller, adviceRequest.decisionTime);
         if (!received.isAnswered) {
             this->callers.recordFailure(answeredAt, caller);
         }
-        this->dispatcher.handleAdvice(answeredAt, question.id, received);
+        this->dispatcher.handleAdvice(answeredAt, adviceRequest.id, received);
     });
 }
 
@@ -450,8 +452,8 @@
     for (execution::Proposal &proposal : effects.proposals) {
         const auto *removal = proposal.command.AsRemoveWorker();
         this->lostWorkers.add(removal != nullptr && removal->end != work::LifeEnd::Left ? 1 : 0);
-        this->propose(std::move(proposal.command), [this, alive = this->isTermActive, id = proposal.id](const workload::Outcome &outcome) {
-            if (*alive) {
+        this->propose(std::move(proposal.command), [this, isActive = this->isTermActive, id = proposal.id](const workload::Outcome &outcome) {
+            if (*isActive) {
                 this->givenUpTasks.add(static_cast<std::int64_t>(outcome.abandonedTasks.size()));
                 this->dispatcher.handleOutcome(controlNow(), id, outcome);
             }
@@ -459,16 +461,16 @@
     }
     for (const execution::WorkerCall &call : effects.calls) {
         this->workerCalls.add();
-        this->workers.call(call, [this, alive = this->isTermActive, id = call.id, now](const execution::WorkerAnswer &received) {
-            if (*alive) {
+        this->workers.call(call, [this, isActive = this->isTermActive, id = call.id, now](const execution::WorkerAnswer &received) {
+            if (*isActive) {
                 const Timestamp answeredAt = controlNow();
                 this->workerCallTimes.record(answeredAt - now);
                 this->dispatcher.handleAnswer(answeredAt, id, received);
             }
         });
     }
-    for (const execution::AdviceRequest &question : effects.adviceRequests) {
-        this->requestAdvice(now, question);
+    for (const execution::AdviceRequest &adviceRequest : effects.adviceRequests) {
+        this->requestAdvice(now, adviceRequest);
     }
 }
 
--- a/paddlepier/cluster/workservice.h
+++ b/paddlepier/cluster/workservice.h
@@ -1,7 +1,7 @@
-// The leader's answers to calls, for one term.
+// The leader's service for calls, for one term.
 //
-// Exists while its replica leads. A call is answered only while the replica is sure that it still leads; whatever changes
-// something is answered after it was committed.
+// Exists while its replica leads. A call is answered only while the replica holds the leader lease; a call that changes
+// state is answered after the commit.
 //
 // Thread safety: none; owned by the control thread.
 
@@ -28,7 +28,7 @@
 
 using WorkloadNode = replication::ReplicaNode<workload::Workload>;
 
-/** Asks through another instance. */
+/** Sends an advice request through another instance. */
 using RequestAdviceVia =
     std::function<void(const std::string &instance, const work::AdviceCallT &call, Timestamp deadline, std::function<void(execution::AdviceAnswer)> done)>;
 
@@ -43,7 +43,7 @@
     WorkService(WorkloadNode &workloadNode,
                 const WorkOptions &options,
                 WorkerPort workerPort,
-                RequestAdviceVia askThrough,
+                RequestAdviceVia adviceSender,
                 AdviceCallerPool &adviceCallers,
                 Counters &processCounters,
                 Timestamp now);
@@ -53,12 +53,12 @@
     WorkService &operator=(const WorkService &) = delete;
 
     void handle(Timestamp now, const std::string &fromInstance, WorkMethod method, const std::string &body, const CallDone &done);
-    /** Carries the dispatcher's effects out; call it after every batch of events. */
+    /** Executes the dispatcher's effects; must be called after every batch of events. */
     void step(Timestamp now);
 
 private:
     void handleJob(const work::JobCallT &call, const CallDone &done);
-    /** What a caller asks of one job. */
+    /** A caller's request about one job. */
     struct JobRequest {
         const work::QueueSpecT &queue;
         std::string id;
@@ -67,12 +67,12 @@
     void submit(const JobRequest &request, const work::JobCallT &call, const CallDone &done);
     void show(const JobRequest &request, const CallDone &done);
     void cancel(const JobRequest &request, const CallDone &done);
-    /** What keeps an announcement from being believed, of what only the leader can tell. */
+    /** The fault of an announcement, as far as only the leader can detect it. */
     std::optional<AnnouncementFault> faultOf(const work::AnnounceCallT &call) const;
     void announce(Timestamp now, const work::AnnounceCallT &call, const CallDone &done);
-    /** Other instances have answered these announcements. */
+    /** Records announcements that other instances have answered. */
     void recordHeartbeats(Timestamp now, const work::HeartbeatsCallT &call, const CallDone &done);
-    /** The life that a withdrawal speaks of; nothing if it may be one that is over. */
+    /** The incarnation that a withdrawal refers to; nothing if it may be one that has ended. */
     std::optional<workload::Incarnation> withdrawnIncarnation(Timestamp now, const work::WithdrawCallT &call) const;
     void withdraw(Timestamp now, const work::WithdrawCallT &call, const CallDone &done);
     void configure(work::ConfigureCallT call, const CallDone &done);
@@ -82,7 +82,7 @@
     void requestAdvice(Timestamp now, const execution::AdviceRequest &question);
 
     void propose(work::CommandUnion command, WorkloadNode::Completed completed);
-    /** Answers @p reply once the command is committed, and a failure as what it is. */
+    /** Proposes @p command and answers with @p reply after the commit, or with the error if it fails. */
     void proposeAndReply(work::CommandUnion command, work::WorkReplyT reply, const CallDone &done);
 
     WorkloadNode &node;
@@ -101,7 +101,7 @@
     Counter &evacuationChanges;
     Histogram &workerCallTimes;
     execution::Dispatcher dispatcher;
-    /** Lets callbacks find out that the term is over. */
+    /** Shared with callbacks, which check whether the term has ended. */
     std::shared_ptr<bool> isTermActive;
 };
 
