--- a/paddlepier/consensus/admission.cpp
+++ b/paddlepier/consensus/admission.cpp
@@ -1,4 +1,4 @@
-// Admission of replicas into a group by its leader.
+// Admission of replicas to a group by its leader.
 
 #include "paddlepier/consensus/admission.h"
 
@@ -14,23 +14,23 @@
 namespace
 {
 
-/** A data centre with so many voters more than another has one too many; with one more they are as even as can be. */
-constexpr std::size_t leastSurplus = 2;
+/** A data centre with this many voters more than another has one too many; a difference of one is as even as possible. */
+constexpr std::size_t surplusThreshold = 2;
 
 void eraseName(std::vector<std::string> &names, const std::string &name)
 {
     names.erase(std::remove(names.begin(), names.end(), name), names.end());
 }
 
-bool holdsName(const std::vector<std::string> &names, const std::string &name)
+bool containsName(const std::vector<std::string> &names, const std::string &name)
 {
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-/** Another replica of the same instance, or an empty name. */
-std::string olderReplica(const std::vector<std::string> &replicas, const std::string &instance, const std::string &newcomer)
+/** Returns another replica of the same instance, or an empty name. */
+std::string olderReplica(const std::vector<std::string> &replicas, const std::string &instance, const std::string &candidate)
 {
-    const auto isOlder = [&](const std::string &name) { return name != newcomer && instanceOf(name) == instance; };
+    const auto isOlder = [&](const std::string &name) { return name != candidate && instanceOf(name) == instance; };
     const auto found = std::find_if(replicas.begin(), replicas.end(), isOlder);
     return found == replicas.end() ? "" : *found;
 }
@@ -67,7 +67,7 @@
 void Admission::advance(Replica &replica, Timestamp now)
 {
     if (!replica.isLeader()) {
-        // Whoever asked then may have another replica by the time at which this one leads again.
+        // An instance that requested admission may have a different replica by the time this one leads again.
         this->pendingRequests.clear();
         return;
     }
@@ -94,41 +94,42 @@
     this->proposeChange(replica, next, Step::Removed, surplus, now);
 }
 
-bool Admission::admit(Replica &replica, const std::string &instance, const std::string &newcomer, Timestamp now) const
+bool Admission::admit(Replica &replica, const std::string &instance, const std::string &candidate, Timestamp now) const
 {
     wire::MembershipT next = replica.membership();
-    if (holdsName(next.voters, newcomer)) {
+    if (containsName(next.voters, candidate)) {
         return true;
     }
-    if (!holdsName(next.learners, newcomer)) {
-        eraseName(next.learners, olderReplica(next.learners, instance, newcomer));
-        next.learners.push_back(newcomer);
-        this->proposeChange(replica, next, Step::Learns, newcomer, now);
+    if (!containsName(next.learners, candidate)) {
+        eraseName(next.learners, olderReplica(next.learners, instance, candidate));
+        next.learners.push_back(candidate);
+        this->proposeChange(replica, next, Step::Learns, candidate, now);
         return false;
     }
-    // A newcomer that counts for a majority before it holds the whole log durably would make the group wait for it.
-    if (replica.matchOf(newcomer) < replica.commitIndex()) {
+    // A replica that votes before it holds the whole log durably would make the group wait for it.
+    if (replica.matchOf(candidate) < replica.commitIndex()) {
         return false;
     }
-    const std::string gone = this->voterToReplace(replica, instance, newcomer, now);
-    if (!gone.empty()) {
-        eraseName(next.voters, gone);
-        this->proposeChange(replica, next, Step::Removed, gone, now);
+    const std::string replaced = this->voterToReplace(replica, instance, candidate, now);
+    if (!replaced.empty()) {
+        eraseName(next.voters, replaced);
+        this->proposeChange(replica, next, Step::Removed, replaced, now);
         return false;
     }
     if (next.voters.size() > this->limits.maxVoters || (next.voters.size() == this->limits.maxVoters && !this->isUnderrepresented(replica, instance, now))) {
         return true;
     }
-    // Beyond the bound it votes before another voter is demoted: with one less, a disk that is lost meanwhile could end the group.
-    eraseName(next.learners, newcomer);
-    next.voters.push_back(newcomer);
-    this->proposeChange(replica, next, Step::Votes, newcomer, now);
+    // Above the maximum, the new voter is added before another one is demoted: with one voter less, the loss of a disk in between could
+    // lose the majority for good.
+    eraseName(next.learners, candidate);
+    next.voters.push_back(candidate);
+    this->proposeChange(replica, next, Step::Votes, candidate, now);
     return false;
 }
 
 void Admission::proposeChange(Replica &replica, const wire::MembershipT &next, Step step, const std::string &subject, Timestamp now) const
 {
-    // A change that no majority of its voters can agree on would leave the group without a leader for good where one of them is gone.
+    // If a majority of its voters can't agree on the change, and one of them is gone, the group would stay without a leader for good.
     if (replica.isInContactWithMajorityOf(next.voters, now) && replica.proposeMembership(next)) {
         this->observer(step, subject);
     }
@@ -150,9 +151,9 @@
     if (own.empty() || voters.contains("") || !this->unresponsiveVoter(replica, now).empty()) {
         return false;
     }
-    const auto known = voters.find(own);
-    const std::size_t ownVoters = known == voters.end() ? 0 : known->second.size();
-    return std::any_of(voters.begin(), voters.end(), [ownVoters](const auto &entry) { return entry.second.size() >= ownVoters + leastSurplus; });
+    const auto ownEntry = voters.find(own);
+    const std::size_t ownVoters = ownEntry == voters.end() ? 0 : ownEntry->second.size();
+    return std::any_of(voters.begin(), voters.end(), [ownVoters](const auto &entry) { return entry.second.size() >= ownVoters + surplusThreshold; });
 }
 
 std::string Admission::voterInLargestDataCentre(const Replica &replica) const
@@ -172,15 +173,15 @@
 std::string Admission::unresponsiveVoter(const Replica &replica, Timestamp now) const
 {
     const std::vector<std::string> &voters = replica.membership().voters;
-    const auto isSilent = [&](const std::string &voter) { return now - replica.lastReplyOf(voter, now) > this->limits.voterTimeout; };
-    const auto found = std::find_if(voters.begin(), voters.end(), isSilent);
+    const auto isUnresponsive = [&](const std::string &voter) { return now - replica.lastReplyOf(voter, now) > this->limits.voterTimeout; };
+    const auto found = std::find_if(voters.begin(), voters.end(), isUnresponsive);
     return found == voters.end() ? "" : *found;
 }
 
-std::string Admission::voterToReplace(const Replica &replica, const std::string &instance, const std::string &newcomer, Timestamp now) const
+std::string Admission::voterToReplace(const Replica &replica, const std::string &instance, const std::string &candidate, Timestamp now) const
 {
     const std::vector<std::string> &voters = replica.membership().voters;
-    std::string older = olderReplica(voters, instance, newcomer);
+    std::string older = olderReplica(voters, instance, candidate);
     return !older.empty() || voters.size() < this->limits.maxVoters ? older : this->unresponsiveVoter(replica, now);
 }
 
--- a/paddlepier/consensus/admission_test.cpp
+++ b/paddlepier/consensus/admission_test.cpp
@@ -1,4 +1,6 @@
-// Where the voters of a large group are: a group of many instances in a few data centres, of which few vote.
+// Admission to a group of many instances in a few data centres, of which few vote. If those of one data centre request
+// admission first, they hold a majority, which is lost together with that data centre. Replicas that are removed or
+// replaced while unreachable, or that lose their disks during a change of the voters, must rejoin.
 
 #include "paddlepier/consensus/fakegroup.h"
 
@@ -16,28 +18,28 @@
 namespace
 {
 
-/** Nine instances, three in each data centre in the order in which they ask; three vote. */
+/** Nine instances, three in each data centre in the order of their requests; three of them vote. */
 class AdmissionFixture
 {
 public:
     static constexpr std::size_t instances = 9;
     static constexpr std::size_t voters = 3;
 
-    static FakeGroupFaults calm(bool knowsDataCentres)
+    static FakeGroupFaults makeAssumptions(bool knowsDataCentres)
     {
-        FakeGroupFaults surroundings;
-        surroundings.limits.maxVoters = voters;
-        surroundings.limits.voterTimeout = absl::Milliseconds(2500);
+        FakeGroupFaults assumptions;
+        assumptions.limits.maxVoters = voters;
+        assumptions.limits.voterTimeout = absl::Milliseconds(2500);
         if (knowsDataCentres) {
-            surroundings.limits.dataCentreOf = [](const std::string &instance) {
+            assumptions.limits.dataCentreOf = [](const std::string &instance) {
                 int number = 0;
                 return absl::SimpleAtoi(instance.substr(1), &number) ? absl::StrCat("d", number / 3) : std::string();
             };
         }
-        return surroundings;
+        return assumptions;
     }
 
-    /** Data centres of the voters, as the leader knows them. */
+    /** Data centres of the voters in the leader's membership. */
     static std::multiset<std::string> dataCentresOfVoters(const FakeGroup &group)
     {
         std::multiset<std::string> found;
@@ -45,14 +47,14 @@
             const Replica *replica = group.replica(index);
             if (replica != nullptr && replica->isCaughtUpLeader()) {
                 for (const std::string &voter : replica->membership().voters) {
-                    found.insert(calm(true).limits.dataCentreOf(instanceOf(voter)));
+                    found.insert(makeAssumptions(true).limits.dataCentreOf(instanceOf(voter)));
                 }
             }
         }
         return found;
     }
 
-    static void playFaults(FakeGroup &group, std::uint64_t seed)
+    static void injectFaults(FakeGroup &group, std::uint64_t seed)
     {
         constexpr int steps = 60;
         std::mt19937_64 random(seed);
@@ -62,11 +64,11 @@
         }
     }
 
-    /** The first promise that is broken by the faults of @p seed or once they are mended; "none" if all hold. */
-    static std::string violationAfterFaults(std::uint64_t seed, const FakeGroupFaults &surroundings = calm(true))
+    /** The first guarantee that is violated by the faults of @p seed or after the recovery from them; "none" if all hold. */
+    static std::string violationAfterFaults(std::uint64_t seed, const FakeGroupFaults &assumptions = makeAssumptions(true))
     {
-        FakeGroup group(instances, {}, seed, surroundings);
-        playFaults(group, seed);
+        FakeGroup group(instances, {}, seed, assumptions);
+        injectFaults(group, seed);
         group.recoverAndVerify();
         return group.violation().value_or("none");
     }
@@ -81,44 +83,44 @@
 
 } // namespace
 
-TEST_CASE_METHOD(AdmissionFixture, "votersOfALargeGroup_areInAsManyDataCentresAsThereAre")
+TEST_CASE_METHOD(AdmissionFixture, "largeGroup_knownDataCentres_spreadsVotersOverAll")
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        FakeGroup group(instances, {}, seed, calm(true));
+        FakeGroup group(instances, {}, seed, makeAssumptions(true));
         run(group, 4);
         CHECK(dataCentresOfVoters(group) == std::multiset<std::string>{"d0", "d1", "d2"});
         CHECK(group.violation().value_or("none") == "none");
     }
 }
 
-TEST_CASE_METHOD(AdmissionFixture, "votersOfALargeGroup_whereDataCentresArentKnown_areThoseThatAskedFirst", "[red]")
+TEST_CASE_METHOD(AdmissionFixture, "largeGroup_unknownDataCentres_votersAreFirstToRequest", "[red]")
 {
-    FakeGroup group(instances, {}, 1, calm(false));
+    FakeGroup group(instances, {}, 1, makeAssumptions(false));
     run(group, 4);
     const std::multiset<std::string> found = dataCentresOfVoters(group);
     REQUIRE(found.size() == voters);
     CHECK(std::set<std::string>(found.begin(), found.end()).size() < voters);
 }
 
-TEST_CASE_METHOD(AdmissionFixture, "largeGroup_underAnyFaults_losesNothingAndHasOneLeader")
+TEST_CASE_METHOD(AdmissionFixture, "largeGroup_randomFaults_losesNothingAndHasOneLeader")
 {
     for (std::uint64_t seed = 100; seed < 125; ++seed) {
         INFO("seed " << seed);
-        FakeGroup group(instances, {}, seed, calm(true));
-        playFaults(group, seed);
+        FakeGroup group(instances, {}, seed, makeAssumptions(true));
+        injectFaults(group, seed);
         CHECK(group.violation().value_or("none") == "none");
     }
 }
 
-TEST_CASE_METHOD(AdmissionFixture, "voterRemovedUnheard_thatNeverAsks_isLeftBehind", "[red]")
+TEST_CASE_METHOD(AdmissionFixture, "voterRemovedWhileUnreachable_withoutNewRequest_staysOutdated", "[red]")
 {
     constexpr std::uint64_t seed = 107;
-    FakeGroupFaults surroundings = calm(true);
-    surroundings.removedVotersRequestAdmission = false;
-    CHECK(violationAfterFaults(seed, surroundings) != "none");
+    FakeGroupFaults assumptions = makeAssumptions(true);
+    assumptions.removedVotersRequestAdmission = false;
+    CHECK(violationAfterFaults(seed, assumptions) != "none");
 }
 
-TEST_CASE_METHOD(AdmissionFixture, "largeGroup_afterAnyFaults_isWholeAndUpToDate")
+TEST_CASE_METHOD(AdmissionFixture, "largeGroup_afterRandomFaults_isCompleteAndUpToDate")
 {
     for (std::uint64_t seed = 100; seed < 125; ++seed) {
         INFO("seed " << seed);
@@ -126,7 +128,7 @@
     }
 }
 
-TEST_CASE_METHOD(AdmissionFixture, "largeGroup_thatLosesADiskWhileItsVotersChange_isWholeAgain")
+TEST_CASE_METHOD(AdmissionFixture, "largeGroup_diskLostDuringVoterChange_recovers")
 {
     for (const std::uint64_t seed : {171, 374, 411, 479, 553, 624}) {
         INFO("seed " << seed);
@@ -134,7 +136,7 @@
     }
 }
 
-TEST_CASE_METHOD(AdmissionFixture, "leaderThatLeadsAgain_hasForgottenWhoAskedBefore")
+TEST_CASE_METHOD(AdmissionFixture, "leader_reelected_discardsEarlierAdmissionRequests")
 {
     constexpr std::uint64_t seed = 333;
     CHECK(violationAfterFaults(seed) == "none");
--- a/paddlepier/consensus/fakegroup.h
+++ b/paddlepier/consensus/fakegroup.h
@@ -1,10 +1,10 @@
 // Test fake: a group of real replicas in one thread, with a fake network and fake disks in virtual time.
 //
-// Faults: loss, duplication, delay and reordering of messages, one- and two-way cuts, freezes, crashes that lose what is
-// not synced (or part of it), lost disks, slow disks and clocks that run at different rates. An oracle watches every
-// step and keeps the first broken promise as text.
+// Faults: loss, duplication, delay and reordering of messages, one-way and two-way cuts, freezes, crashes that lose
+// unsynced data (or part of it), lost disks, slow disks and clocks that run at different rates. An oracle checks every
+// step and records the first violated guarantee as text.
 //
-// Thread safety: none. Used by replica_test.cpp alone.
+// Thread safety: none. Used by replica_test.cpp and admission_test.cpp only.
 
 #ifndef PADDLEPIER_CONSENSUS_FAKEGROUP_H
 #define PADDLEPIER_CONSENSUS_FAKEGROUP_H
@@ -44,15 +44,15 @@
     MAX = LoseDiskAndPower
 };
 
-/** Promises of the group's surroundings that a test breaks, to show that it notices. */
+/** Assumptions about the environment that a test breaks, to show that the violation is detected. */
 struct FakeGroupFaults {
-    /** A replica whose disk was lost comes back under its old name: the fault that minting prevents. */
+    /** A replica that lost its disk returns under its old identity, the fault that unique identities prevent. */
     bool keepIdentity = false;
-    /** Clocks stand still while their member is frozen, as a suspended machine's steady clock does. */
+    /** Clocks stop while their member is frozen, like the steady clock of a suspended machine. */
     bool clocksStopWhileFrozen = false;
-    /** A voter that was removed while it couldn't be reached asks to be admitted once it has heard no leader for long. */
+    /** A voter that was removed while unreachable requests admission once it has had no contact with a leader for some time. */
     bool removedVotersRequestAdmission = true;
-    /** How many vote, and where instances are. */
+    /** Number of voters, and data centres of the instances. */
     Admission::Limits limits = {};
 };
 
@@ -67,14 +67,14 @@
 public:
     FakeGroup(std::size_t size, ReplicaGuards replicaGuards, std::uint64_t seed, FakeGroupFaults groupFaults = {});
 
-    /** The replica of member @p index; null while it is down. */
+    /** @return the replica of member @p index; null while it is down */
     const Replica *replica(std::size_t index) const;
 
-    /** Does one step of a scenario. */
+    /** Executes one step of a scenario. */
     void step(const FaultStep &faultStep);
-    /** Mends everything and checks that the group works and has lost nothing. */
+    /** Ends all faults, then checks that the group works and has lost nothing. */
     void recoverAndVerify();
-    /** The first broken promise, if any. */
+    /** The first violated guarantee, if any. */
     const std::optional<std::string> &violation() const;
 
 private:
@@ -91,7 +91,7 @@
         bool frozen = false;
         bool slowDisk = false;
         double clockRate = 1;
-        /** For how long it was frozen in all. */
+        /** Total time for which it was frozen. */
         Duration totalFrozen;
         Index applied = 0;
         Timestamp leaderSeenAt = absl::InfinitePast();
@@ -108,12 +108,12 @@
 
     void run(Duration duration);
     void tickAll();
-    /** Asks every leader that can be reached to be admitted, as ReplicaNode does. */
+    /** Requests admission from every reachable leader, as ReplicaNode does. */
     void requestAdmission(std::size_t index);
     void deliver();
     void processMember(std::size_t index);
     void finishWrites(std::size_t index);
-    static void applyWrite(Member &member, const Effects &effects, std::size_t mostEntries);
+    static void applyWrite(Member &member, const Effects &effects, std::size_t maxEntries);
     void post(std::size_t from, std::vector<OutboundMessage> &messages);
     void apply(std::size_t index, const std::vector<wire::LogRecordT> &entries);
     void start(std::size_t index);
@@ -124,7 +124,7 @@
     bool hasFullMembership() const;
     void proposeAtLeaders();
     void checkLeases();
-    /** No learner is a replica that is gone for good. */
+    /** Checks that no learner is a replica that was replaced by another one of its instance. */
     void checkLearners();
     void fail(const std::string &what);
     Timestamp clockOf(const Member &member) const;
@@ -139,7 +139,7 @@
     std::set<std::pair<std::size_t, std::size_t>> cuts;
     std::uint32_t lossPercent = 0;
     std::uint64_t nextCommand = 1;
-    // The oracle: what was given out as committed, by index.
+    // The oracle: content of the committed entries by index.
     std::map<Index, std::string> committed;
     std::optional<std::string> firstViolation;
 };
--- a/paddlepier/consensus/fakegroup_test.cpp
+++ b/paddlepier/consensus/fakegroup_test.cpp
@@ -18,8 +18,8 @@
 constexpr Duration stepTime = absl::Milliseconds(10);
 constexpr std::size_t entriesPerSnapshot = 24;
 
-/** A voter that has heard no leader for this long asks whether it still is one, as ReplicaNode does. */
-constexpr Duration leaderSilence = absl::Seconds(2);
+/** A voter without contact with a leader for this long requests admission in case it was removed, as ReplicaNode does. */
+constexpr Duration leaderContactTimeout = absl::Seconds(2);
 
 std::string contentOf(const wire::LogRecordT &entry)
 {
@@ -67,8 +67,8 @@
 
 Timestamp FakeGroup::clockOf(const Member &member) const
 {
-    const Duration missed = this->faults.clocksStopWhileFrozen ? member.totalFrozen : absl::ZeroDuration();
-    return absl::UnixEpoch() + (this->now - missed - absl::UnixEpoch()) * member.clockRate;
+    const Duration uncounted = this->faults.clocksStopWhileFrozen ? member.totalFrozen : absl::ZeroDuration();
+    return absl::UnixEpoch() + (this->now - uncounted - absl::UnixEpoch()) * member.clockRate;
 }
 
 void FakeGroup::start(std::size_t index)
@@ -87,7 +87,7 @@
     member.applied = member.disk.snapshot ? member.disk.snapshot->index : 0;
 }
 
-void FakeGroup::applyWrite(Member &member, const Effects &effects, std::size_t mostEntries)
+void FakeGroup::applyWrite(Member &member, const Effects &effects, std::size_t maxEntries)
 {
     storage::RecoveredState &disk = member.disk;
     if (effects.snapshot) {
@@ -97,7 +97,7 @@
     if (effects.hardState) {
         disk.hardState = *effects.hardState;
     }
-    for (std::size_t position = 0; position < std::min(mostEntries, effects.entries.size()); ++position) {
+    for (std::size_t position = 0; position < std::min(maxEntries, effects.entries.size()); ++position) {
         const wire::LogRecordT &entry = effects.entries[position];
         while (!disk.entries.empty() && disk.entries.back().index >= entry.index) {
             disk.entries.pop_back();
@@ -112,7 +112,7 @@
     if (!member.replica) {
         return;
     }
-    // Of the write under way, a beginning may have reached the disk; a snapshot is renamed whole or not at all.
+    // Of the pending write, a prefix may have reached the disk; a snapshot is renamed atomically.
     if (!member.writes.empty() && !member.writes.front().effects.snapshot && this->randomBelow(2) == 0) {
         applyWrite(member, member.writes.front().effects, this->randomBelow(4));
     }
@@ -131,15 +131,15 @@
         const auto votes = [&membership](const Member &member) {
             return std::find(membership.voters.begin(), membership.voters.end(), member.identity) != membership.voters.end();
         };
-        const std::size_t wanted = std::min(this->members.size(), this->faults.limits.maxVoters);
+        const std::size_t expected = std::min(this->members.size(), this->faults.limits.maxVoters);
         const auto voting = static_cast<std::size_t>(std::count_if(this->members.begin(), this->members.end(), votes));
-        return membership.voters.size() == wanted && voting == wanted;
+        return membership.voters.size() == expected && voting == expected;
     });
 }
 
 void FakeGroup::loseDisk(std::size_t index)
 {
-    // One lost disk at a time is what a group of three promises to stand; the next one may come right after the repair.
+    // A group of three guarantees to tolerate one lost disk at a time; the next one may follow right after the recovery.
     if (this->hasFullMembership()) {
         this->restartWithEmptyDisk(index);
     }
@@ -269,7 +269,7 @@
     }
     const std::vector<std::string> &voters = member.replica->membership().voters;
     const bool votes = std::find(voters.begin(), voters.end(), member.identity) != voters.end();
-    const bool mayBeRemoved = this->faults.removedVotersRequestAdmission && this->now - member.leaderSeenAt > leaderSilence;
+    const bool mayBeRemoved = this->faults.removedVotersRequestAdmission && this->now - member.leaderSeenAt > leaderContactTimeout;
     for (std::size_t other = 0; (!votes || mayBeRemoved) && other < this->members.size(); ++other) {
         Member &leader = this->members[other];
         if (leader.replica && !leader.frozen && leader.replica->isLeader() && !this->cuts.contains({index, other})) {
@@ -288,12 +288,12 @@
     if (effects.resetToSnapshot) {
         member.applied = effects.snapshot->index;
     }
-    const std::vector<wire::LogRecordT> committedNow = std::move(effects.committed);
+    const std::vector<wire::LogRecordT> committedEntries = std::move(effects.committed);
     if (effects.isDurable() || !effects.afterSync.empty()) {
         const Duration syncTime = member.slowDisk ? absl::Milliseconds(120) : stepTime;
         member.writes.push_back({this->now + syncTime, std::move(effects)});
     }
-    this->apply(index, committedNow);
+    this->apply(index, committedEntries);
     if (member.replica->lastIndex() - member.replica->firstIndex() > entriesPerSnapshot) {
         member.replica->compact(member.applied, absl::StrCat("state-at-", member.applied, std::string(100, '.')));
     }
@@ -369,7 +369,7 @@
         leased += member.replica && member.replica->hasLeaderLease(this->clockOf(member)) ? 1 : 0;
     }
     if (leased > 1) {
-        this->fail("two replicas hold the leader's lease");
+        this->fail("two replicas hold the leader lease");
     }
 }
 
@@ -382,7 +382,7 @@
         for (const std::string &learner : leader.replica->membership().learners) {
             const auto isLearner = [&learner](const Member &member) { return member.identity == learner; };
             if (std::none_of(this->members.begin(), this->members.end(), isLearner)) {
-                this->fail(absl::StrCat(learner, " is a learner, though its instance has another replica"));
+                this->fail(absl::StrCat(learner, " is a learner although its instance has another replica"));
             }
         }
     }
@@ -404,7 +404,7 @@
     this->run(absl::Seconds(2));
     const Index last = this->committed.empty() ? 0 : this->committed.rbegin()->first;
     if (!this->hasFullMembership()) {
-        this->fail("the group is not whole again");
+        this->fail("the group has not returned to full membership");
     }
     this->checkLearners();
     for (const Member &member : this->members) {
--- a/paddlepier/consensus/leadertimeout.cpp
+++ b/paddlepier/consensus/leadertimeout.cpp
@@ -1,4 +1,4 @@
-// How long a follower waits for a leader that has fallen silent.
+// Timeout after which a follower regards an unresponsive leader as lost.
 
 #include "paddlepier/consensus/leadertimeout.h"
 
@@ -10,27 +10,27 @@
 namespace
 {
 
-/** Pauses of the longest kind that a leader may miss: with three, one lost message doesn't unseat it. */
-constexpr int pausesMissed = 3;
+/** Number of longest gaps that the timeout covers: with three, one lost message doesn't cause an election. */
+constexpr int toleratedGaps = 3;
 
-/** Bound of the wait, in least silences: a leader that is really gone is missed for at most this long. */
-constexpr int mostSilences = 4;
+/** Upper bound of the timeout as a multiple of the minimum: it limits how long the loss of a leader goes unnoticed. */
+constexpr int maxTimeoutFactor = 4;
 
-/** What a message leaves of the longest pause: with some 13 heartbeats a second it halves in about two seconds. */
-constexpr double kept = 0.975;
+/** Decay of the longest gap with each message: with some 13 heartbeats a second it halves in about two seconds. */
+constexpr double gapDecay = 0.975;
 
 } // namespace
 
-LeaderTimeout::LeaderTimeout(Duration leastSilence)
-    : minTimeout(leastSilence)
+LeaderTimeout::LeaderTimeout(Duration minimum)
+    : minTimeout(minimum)
 {
 }
 
-void LeaderTimeout::recordGap(Duration pause)
+void LeaderTimeout::recordGap(Duration gap)
 {
-    // A follower that stood still itself sees a pause of any length: beyond the bound it would only be remembered for longer.
-    const Duration counted = std::min(pause, this->minTimeout * mostSilences / pausesMissed);
-    this->longestGap = std::max(counted, this->longestGap * kept);
+    // A follower that was suspended itself observes an arbitrarily long gap. A gap above the bound would only take longer to decay.
+    const Duration counted = std::min(gap, this->minTimeout * maxTimeoutFactor / toleratedGaps);
+    this->longestGap = std::max(counted, this->longestGap * gapDecay);
 }
 
 void LeaderTimeout::reset()
@@ -40,7 +40,7 @@
 
 Duration LeaderTimeout::current() const
 {
-    return std::clamp(pausesMissed * this->longestGap, this->minTimeout, mostSilences * this->minTimeout);
+    return std::clamp(toleratedGaps * this->longestGap, this->minTimeout, maxTimeoutFactor * this->minTimeout);
 }
 
 } // namespace paddlepier::consensus
--- a/paddlepier/consensus/leadertimeout.h
+++ b/paddlepier/consensus/leadertimeout.h
@@ -1,9 +1,9 @@
-// How long a follower waits for a leader that has fallen silent.
+// Timeout after which a follower regards an unresponsive leader as lost.
 //
-// The least silence is a setting. A leader whose process is overloaded sends later than it means to; to unseat it would
-// hand its load, and that of an election, to another one. So the wait is a multiple of the longest pause that was seen a short
-// while ago between two messages of this leader, up to a bound. Only the follower's own wait grows: what it has promised
-// to the leader, on which the leader's lease rests, stays the least silence.
+// The minimum is a setting. An overloaded leader sends its messages late; replacing it would move its load, plus that
+// of an election, to another replica. The timeout is therefore a multiple of the longest gap between two messages of
+// this leader that was observed recently, up to a bound. It affects only when the follower starts an election: the
+// follower's promise to the leader, on which the leader lease is based, remains the minimum.
 //
 // Thread safety: none; owned by a replica.
 
@@ -18,20 +18,20 @@
 class LeaderTimeout
 {
 public:
-    /** @param least the wait while messages come in time */
-    explicit LeaderTimeout(Duration least);
+    /** @param minimum  the timeout while messages arrive in time */
+    explicit LeaderTimeout(Duration minimum);
 
-    /** Two messages of one leader came @p pause apart. */
-    void recordGap(Duration pause);
-    /** Another leader: what was seen of the last one says nothing about it. */
+    /** Records the time between two messages of the same leader. */
+    void recordGap(Duration gap);
+    /** Discards the observed gaps, which say nothing about a new leader. */
     void reset();
 
-    /** Shortest silence after which the leader is taken to be gone. */
+    /** The current timeout. */
     Duration current() const;
 
 private:
     const Duration minTimeout;
-    /** The longest pause seen, less a little with each message since. */
+    /** The longest observed gap, decayed a little with each message since. */
     Duration longestGap = absl::ZeroDuration();
 };
 
--- a/paddlepier/consensus/leadertimeout_test.cpp
+++ b/paddlepier/consensus/leadertimeout_test.cpp
@@ -1,4 +1,5 @@
-// A slow leader keeps its place; one that is gone is missed soon.
+// Timeout of followers. An overloaded leader that sends its heartbeats late must not be replaced, which would move its
+// load to another replica; the loss of a leader must still be detected soon, also after a suspension of the follower.
 
 #include "paddlepier/consensus/leadertimeout.h"
 #include "paddlepier/consensus/replica.h"
@@ -12,7 +13,7 @@
 namespace
 {
 
-constexpr Duration least = absl::Milliseconds(300);
+constexpr Duration minTimeout = absl::Milliseconds(300);
 
 class FollowerFixture
 {
@@ -20,7 +21,7 @@
     FollowerFixture()
     {
         this->settings.self = std::string(1, 'b');
-        this->settings.electionTimeout = least;
+        this->settings.electionTimeout = minTimeout;
         storage::RecoveredState recovered;
         recovered.hardState.term = 1;
         wire::LogRecordT entry;
@@ -48,8 +49,8 @@
         this->replica->drainEffects();
     }
 
-    /** @return true if it has asked for votes meanwhile */
-    bool campaignsWithin(Duration time)
+    /** @return true if the replica has started an election in that time */
+    bool startsElectionWithin(Duration time)
     {
         for (const Timestamp end = this->now + time; this->now < end;) {
             this->now += absl::Milliseconds(5);
@@ -68,44 +69,44 @@
 
 } // namespace
 
-TEST_CASE_METHOD(FollowerFixture, "follower_ofALeaderThatIsRegularlyLate_waitsForIt")
+TEST_CASE_METHOD(FollowerFixture, "follower_leaderRegularlyLate_waits")
 {
     for (int message = 0; message < 40; ++message) {
         this->heartbeat();
-        CHECK_FALSE(this->campaignsWithin(message < 3 ? absl::Milliseconds(250) : absl::Milliseconds(700)));
+        CHECK_FALSE(this->startsElectionWithin(message < 3 ? absl::Milliseconds(250) : absl::Milliseconds(700)));
     }
 }
 
-TEST_CASE_METHOD(FollowerFixture, "follower_ofALeaderThatWasInTime_missesItAfterTwiceTheLeastSilence")
+TEST_CASE_METHOD(FollowerFixture, "follower_leaderWasInTime_startsElectionWithinTwiceMinTimeout")
 {
     for (int message = 0; message < 40; ++message) {
         this->heartbeat();
-        CHECK_FALSE(this->campaignsWithin(absl::Milliseconds(75)));
+        CHECK_FALSE(this->startsElectionWithin(absl::Milliseconds(75)));
     }
-    CHECK(this->campaignsWithin(2 * least));
+    CHECK(this->startsElectionWithin(2 * minTimeout));
 }
 
-TEST_CASE("silence_afterAFollowersOwnFreeze_shrinksAgainWithMessagesInTime")
+TEST_CASE("timeout_afterFollowerFreeze_decaysWithTimelyMessages")
 {
-    LeaderTimeout patience(least);
-    patience.recordGap(absl::Seconds(60));
+    LeaderTimeout timeout(minTimeout);
+    timeout.recordGap(absl::Seconds(60));
     for (int message = 0; message < 13 * 5; ++message) {
-        patience.recordGap(absl::Milliseconds(75));
+        timeout.recordGap(absl::Milliseconds(75));
     }
-    CHECK(patience.current() < 2 * least + absl::Milliseconds(50));
+    CHECK(timeout.current() < 2 * minTimeout + absl::Milliseconds(50));
 }
 
-TEST_CASE("silence_afterOneLongPause_shrinksAgainWithMessagesInTime")
+TEST_CASE("timeout_afterOneLongGap_decaysWithTimelyMessages")
 {
-    LeaderTimeout patience(least);
-    patience.recordGap(absl::Seconds(1));
-    CHECK(patience.current() == 4 * least);
+    LeaderTimeout timeout(minTimeout);
+    timeout.recordGap(absl::Seconds(1));
+    CHECK(timeout.current() == 4 * minTimeout);
     for (int message = 0; message < 13 * 5; ++message) {
-        patience.recordGap(absl::Milliseconds(75));
+        timeout.recordGap(absl::Milliseconds(75));
     }
-    CHECK(patience.current() < 2 * least + absl::Milliseconds(50));
-    patience.reset();
-    CHECK(patience.current() == least);
+    CHECK(timeout.current() < 2 * minTimeout + absl::Milliseconds(50));
+    timeout.reset();
+    CHECK(timeout.current() == minTimeout);
 }
 
 } // namespace paddlepier::consensus
--- a/paddlepier/consensus/replica.cpp
+++ b/paddlepier/consensus/replica.cpp
@@ -13,11 +13,11 @@
 namespace
 {
 
-/** An election takes two syncs and a round trip on top of what a pre-vote takes: several probes' time. */
-constexpr int probesOfOneElection = 5;
+/** An election takes two syncs and a round trip more than a pre-vote, which is several pre-vote intervals. */
+constexpr int preVoteIntervalsPerElection = 5;
 
-/** A replica that is well answers every heartbeat; of so many in a row the network may lose all but one. */
-constexpr int heartbeatsToAnswer = 3;
+/** A healthy replica answers every heartbeat; the network may lose all but one of this many in a row. */
+constexpr int replyWindowHeartbeats = 3;
 
 } // namespace
 
@@ -32,7 +32,7 @@
     , random(seed)
     , hardState(std::move(recovered.hardState))
     , snapshot(std::move(recovered.snapshot))
-    , lastHeardLeader(now) // A restarted voter may have promised a leader its silence just before.
+    , lastHeardLeader(now) // Just before a restart a voter may have promised not to vote against its leader.
     , leaderTimeout(this->settings.electionTimeout)
     , startedAt(now)
     , termAtStart(this->hardState.term)
@@ -99,9 +99,9 @@
     std::uniform_real_distribution<double> spread(1.0, 2.0);
     Duration shortest = this->leaderTimeout.current();
     if (this->isFreshlyStarted(now) && this->settings.guards.preVote) {
-        // Whoever has just voted, for itself or another, gives that election time to end.
+        // A replica that has just voted, for itself or another, waits until that election has ended.
         const bool hasVoted = this->hardState.term > this->termAtStart;
-        shortest = this->settings.restartPreVoteInterval * (hasVoted ? probesOfOneElection : 1);
+        shortest = this->settings.restartPreVoteInterval * (hasVoted ? preVoteIntervalsPerElection : 1);
     }
     this->electionDeadline = now + shortest * spread(this->random);
 }
@@ -171,7 +171,7 @@
         progress.next = this->lastIndex() + 1;
         progress.lastReply = now;
     }
-    // An entry of the own term lets the leader commit what earlier leaders left.
+    // By committing an entry of its own term the leader also commits the entries of earlier leaders.
     this->appendAsLeader(wire::EntryKind::Empty, "");
     this->termStartIndex = this->lastIndex();
     this->broadcast(now, true);
@@ -179,13 +179,13 @@
 
 bool Replica::stepDownWithoutQuorum(Timestamp now)
 {
-    std::size_t heard = 1;
+    std::size_t responsive = 1;
     for (const auto &[member, progress] : this->progresses) {
         if (this->isVoter(member) && now - progress.lastReply < 2 * this->settings.electionTimeout) {
-            ++heard;
+            ++responsive;
         }
     }
-    if (heard >= this->quorum()) {
+    if (responsive >= this->quorum()) {
         return false;
     }
     this->becomeFollower(this->hardState.term, "");
@@ -242,22 +242,22 @@
 
 void Replica::onVoteRequest(Timestamp now, const std::string &from, const wire::VoteRequestT &request)
 {
-    const bool willing = this->canGrantVote(now, request);
+    const bool mayGrant = this->canGrantVote(now, request);
     wire::VoteReplyT reply;
     reply.preVote = request.preVote;
     if (request.preVote) {
-        reply.granted = willing && request.term > this->hardState.term;
+        reply.granted = mayGrant && request.term > this->hardState.term;
         reply.term = reply.granted ? request.term : this->hardState.term;
         reply.knowsNoLeader = !this->heardLeader && this->role != ReplicaRole::Leader && this->isUpToDate(request);
         this->sendAfterSync(from, reply);
         return;
     }
-    // A refused candidate must not raise the term here, or a replica cut off for long would unseat a healthy leader.
-    if (request.term > this->hardState.term && willing) {
+    // A refused candidate must not raise the term here, or a replica that was cut off for a long time would depose a healthy leader.
+    if (request.term > this->hardState.term && mayGrant) {
         this->becomeFollower(request.term, "");
     }
     const bool isFree = this->hardState.votedFor.empty() || this->hardState.votedFor == from;
-    reply.granted = willing && request.term == this->hardState.term && isFree && this->role != ReplicaRole::Leader;
+    reply.granted = mayGrant && request.term == this->hardState.term && isFree && this->role != ReplicaRole::Leader;
     reply.term = this->hardState.term;
     if (reply.granted) {
         this->hardState.votedFor = from;
@@ -317,7 +317,7 @@
     if (this->role != ReplicaRole::Leader) {
         return false;
     }
-    // In the order of the membership, so that the choice doesn't hang on the order of a hash table.
+    // Iterates in the order of the membership, so that the choice doesn't depend on the order of a hash table.
     const std::string *best = nullptr;
     for (const std::string &voter : this->members.voters) {
         const auto found = this->progresses.find(voter);
@@ -343,9 +343,9 @@
 
 Effects Replica::drainEffects()
 {
-    Effects taken;
-    std::swap(taken, this->effects);
-    return taken;
+    Effects drained;
+    std::swap(drained, this->effects);
+    return drained;
 }
 
 bool Replica::isLeader() const
@@ -370,13 +370,13 @@
 
 bool Replica::isInContactWithMajorityOf(const std::vector<std::string> &voters, Timestamp now) const
 {
-    const auto isHeard = [this, now](const std::string &voter) {
+    const auto isResponsive = [this, now](const std::string &voter) {
         const auto progress = this->progresses.find(voter);
         const bool hasAnswered =
-            progress != this->progresses.end() && now - progress->second.lastReply <= heartbeatsToAnswer * this->settings.heartbeatInterval;
+            progress != this->progresses.end() && now - progress->second.lastReply <= replyWindowHeartbeats * this->settings.heartbeatInterval;
         return voter == this->settings.self || hasAnswered;
     };
-    return static_cast<std::size_t>(std::count_if(voters.begin(), voters.end(), isHeard)) >= voters.size() / 2 + 1;
+    return static_cast<std::size_t>(std::count_if(voters.begin(), voters.end(), isResponsive)) >= voters.size() / 2 + 1;
 }
 
 bool Replica::isCaughtUpLeader() const
--- a/paddlepier/consensus/replica.h
+++ b/paddlepier/consensus/replica.h
@@ -1,24 +1,24 @@
 // One replica of a replicated log, free of I/O.
 //
 // The replica agrees with its peers on one order of entries (leader election with pre-vote and check-quorum, log
-// replication, snapshots, learners, membership changes by one replica at a time, hand-over of leadership). It reads no
-// clock, socket or file: the owner passes in time, messages and completions of disk writes, and carries out the Effects
-// it takes out afterwards.
+// replication, snapshots, learners, membership changes by one replica at a time, leadership transfer). It reads no
+// clock, socket or file: the owner passes in time, messages and completions of disk writes, drains the Effects and
+// executes them.
 //
 // Guarantees, as long as the owner keeps the order stated at Effects:
-//  - entries that were given out as committed are never lost or reordered while a majority of the voters keeps its disk;
-//  - at most one leader a term; hasLeaderLease() is true on at most one replica at a time, if clocks run at the same
+//  - committed entries are never lost or reordered while a majority of the voters keeps its disk;
+//  - at most one leader per term; hasLeaderLease() is true on at most one replica at a time, if clocks run at the same
 //    rate within the drift bound.
 //
-// A voter that has restarted may have promised a leader its silence, and keeps it for an election timeout. After a restart
-// of the whole group that would be time lost: if every voter says that it knows no leader, there is none whose lease could
-// still run, and the group elects one at once.
+// A voter may have promised before a restart not to vote against its leader, and keeps that promise for an election
+// timeout. After a restart of the whole group that wait would be wasted: if every voter reports that it knows no
+// leader, no leader can hold a lease any more, and the group elects one at once.
 //
 // Example:
 //     Replica replica(settings, recovered, now, seed);
 //     replica.receive(now, from, message);
-//     const Effects effects = replica.takeEffects();
-//     // send effects.now; write effects to disk, then send effects.afterSync and call replica.persisted(...)
+//     const Effects effects = replica.drainEffects();
+//     // send effects.immediate; write effects to disk, then send effects.afterSync and call replica.persisted(...)
 //
 // Thread safety: none; owned by the control thread.
 
@@ -50,14 +50,14 @@
 enum class ReplicaRole { Follower, PreCandidate, Candidate, Leader };
 const char *nameOf(ReplicaRole role);
 
-/** Safety checks that only a test switches off, to show that it notices. */
+/** Safety checks that only tests disable, to show that the resulting fault is detected. */
 struct ReplicaGuards {
     bool preVote = true;
-    /** A voter refuses votes while it hears from a leader; the leader's lease rests on it. */
+    /** A voter refuses votes while it receives a leader's messages; the leader lease depends on it. */
     bool stickyVotes = true;
-    /** Acknowledge only what is synced. */
+    /** Only synced entries are acknowledged. */
     bool syncBeforeAcknowledge = true;
-    /** An election right after a restart needs the word of every voter that it knows no leader, not of a majority. */
+    /** An election right after a restart requires every voter, not just a majority, to report that it knows no leader. */
     bool unanimousRestart = true;
 };
 
@@ -65,17 +65,20 @@
     /** This replica's identity. */
     std::string self;
     Duration heartbeatInterval = absl::Milliseconds(100);
-    /** Shortest silence after which a follower starts an election, while its leader's messages come in time; the longest is twice that. */
+    /**
+     * Minimum time without a leader's message after which a follower starts an election, while the messages come in time; the maximum is
+     * twice that.
+     */
     Duration electionTimeout = absl::Milliseconds(500);
     /**
-     * Shortest pause between the pre-votes of a replica that has heard from no leader since it was started; the longest
-     * is twice that. A few round trips.
+     * Minimum interval of pre-votes of a replica that has had no contact with a leader since its start; the maximum is twice that. It
+     * should be a few round trips.
      */
     Duration restartPreVoteInterval = absl::Milliseconds(30);
     std::uint32_t driftPerMille = 10;
     std::size_t appendBytes = std::size_t{256} * 1024;
     std::size_t chunkBytes = std::size_t{256} * 1024;
-    /** Append messages without an answer that one follower may have at a time. */
+    /** Maximum number of unanswered append messages per follower. */
     std::size_t pipelineDepth = 16;
     ReplicaGuards guards;
 };
@@ -86,17 +89,17 @@
 };
 
 /**
- * What the owner must do, in this order: send `now`; if isDurable() is true, write snapshot or hard state and entries in
- * one step; then send `afterSync` and report persisted(). Effects are carried out in the order in which they were taken.
+ * Actions for the owner, in this order: send `immediate`; if isDurable() is true, write snapshot or hard state and entries in one step;
+ * then send `afterSync` and call persisted(). Effects must be executed in the order in which they were drained.
  */
 struct Effects {
     std::vector<OutboundMessage> immediate;
     std::vector<OutboundMessage> afterSync;
     std::optional<wire::HardStateT> hardState;
     std::vector<wire::LogRecordT> entries;
-    /** Replaces the log on disk by this snapshot, `hardState` and `entries`. */
+    /** Replaces the log on disk with this snapshot, `hardState` and `entries`. */
     std::shared_ptr<const wire::SnapshotHeaderT> snapshot;
-    /** Set if the snapshot came from the leader: the state machine must be reset to it before `committed`. */
+    /** True if the snapshot came from the leader: the state machine must be reset to it before `committed` is applied. */
     bool resetToSnapshot = false;
     std::vector<wire::LogRecordT> committed;
 
@@ -111,7 +114,7 @@
 public:
     Replica(ReplicaSettings replicaSettings, storage::RecoveredState recovered, Timestamp now, std::uint64_t seed);
 
-    /** Starts a new group with this replica as its only voter. Must have no membership yet. */
+    /** Starts a new group with this replica as its only voter. The replica must have no membership yet. */
     void bootstrapGroup(Timestamp now);
 
     void tick(Timestamp now);
@@ -124,26 +127,26 @@
     std::optional<Index> propose(const std::string &data);
 
     /**
-     * Appends a membership that differs by one replica, if this replica leads, has committed an entry of its term and
-     * no other change is on its way.
+     * Appends a membership that differs by one replica, if this replica leads, has committed an entry of its term and no other membership
+     * change is pending.
      */
     bool proposeMembership(const wire::MembershipT &next);
 
-    /** All entries up to @p index are durable here; @p term is that of the entry at @p index when it was written. */
+    /** Reports that all entries up to @p index are durable here; @p term is the term of the entry at @p index when it was written. */
     void persisted(Timestamp now, Index index, Term term);
 
-    /** Drops entries up to @p index, which the state machine's @p data covers. */
+    /** Removes the entries up to @p index, which are covered by the state machine's snapshot @p data. */
     void compact(Index index, const std::string &data);
 
-    /** As leader: asks the most advanced voter to take over, and stops leading. @return false if there is none */
+    /** As leader: asks the most up-to-date voter to take over, and steps down. @return false if no voter can */
     bool transferLeadership(Timestamp now);
 
     Effects drainEffects();
 
     bool isLeader() const;
-    /** True if no other replica can have become leader up to @p now; needed before answering from the state alone. */
+    /** True if no other replica can have become leader up to @p now; required for answering from local state. */
     bool hasLeaderLease(Timestamp now) const;
-    /** True if the leader has applied everything that earlier leaders committed. */
+    /** True if this replica leads and has committed an entry of its own term, and with it all entries of earlier leaders. */
     bool isCaughtUpLeader() const;
     /** When this replica became leader; meaningful if isLeader(). */
     Timestamp leaderSince() const;
@@ -155,7 +158,7 @@
     bool isMember() const;
     const wire::MembershipT &membership() const;
     bool hasPendingMembership() const;
-    /** As leader: a majority of @p voters, which may be others than the members', has answered within the last heartbeats. */
+    /** As leader: true if a majority of @p voters, which may differ from the current ones, has answered within the last heartbeats. */
     bool isInContactWithMajorityOf(const std::vector<std::string> &voters, Timestamp now) const;
     /** As leader: the index up to which @p replica is known to be durable. */
     Index matchOf(const std::string &replica) const;
@@ -168,10 +171,10 @@
         Index next = 1;
         Index match = 0;
         std::size_t inFlight = 0;
-        /** True while it isn't known where the follower's log meets this one. */
+        /** True until the last common entry of the follower's log and this one is known. */
         bool probing = true;
         Timestamp lastSent;
-        /** Send time of the newest append that it answered, on this replica's clock. */
+        /** Send time of the newest append that the follower answered, by this replica's clock. */
         Timestamp lastAckSentAt = absl::InfinitePast();
         Timestamp lastReply = absl::InfinitePast();
         std::uint64_t snapshotOffset = 0;
@@ -180,19 +183,19 @@
 
     void becomeFollower(Term newTerm, const std::string &newLeader);
     enum class Election {
-        /** Asks whether an election could be won; changes nothing at the voters. */
+        /** Checks whether an election could be won; changes nothing at the voters. */
         PreVote,
         Vote,
-        /** The leader has asked for it, so that voters need not wait for its silence. */
+        /** Requested by the leader, so that voters need not wait for the leader's timeout. */
         AfterHandOver,
-        /** Every voter knows no leader, so that those that have restarted need not wait either. */
+        /** No voter knows a leader, so that restarted voters need not wait either. */
         AfterRestart
     };
 
     void startElection(Timestamp now, Election election);
     void becomeLeader(Timestamp now);
     void resetElectionTimer(Timestamp now);
-    /** It asks for votes, or answers, as one that was started a short while ago and has heard from no leader. */
+    /** True if the replica was started recently and has had no contact with a leader. */
     bool isFreshlyStarted(Timestamp now) const;
     bool hasUnanimousRestart() const;
     bool stepDownWithoutQuorum(Timestamp now);
@@ -256,9 +259,9 @@
     LeaderTimeout leaderTimeout;
     const Timestamp startedAt;
     const Term termAtStart;
-    /** Since this replica was started it has heard from a leader, or has led. */
+    /** True if this replica has had contact with a leader, or has led, since its start. */
     bool heardLeader = false;
-    /** Voters that know no leader, by their answers to the pre-vote under way. */
+    /** Voters that know no leader, by their answers to the current pre-vote. */
     absl::flat_hash_set<std::string> votersWithoutLeader;
     Timestamp leadingSince;
     Timestamp lastBroadcast;
@@ -266,7 +269,7 @@
     absl::flat_hash_map<std::string, bool> votes;
     absl::flat_hash_map<std::string, Progress> progresses;
 
-    /** Bytes of `snapshot` as they are sent in chunks; packed once for each snapshot. */
+    /** Serialized `snapshot`, from which chunks are sent; built once for each snapshot. */
     std::string packedSnapshot;
     Index packedSnapshotIndex = 0;
     std::string incomingSnapshot;
--- a/paddlepier/consensus/replica_test.cpp
+++ b/paddlepier/consensus/replica_test.cpp
@@ -1,4 +1,4 @@
-// Stateful fuzzing of the consensus core against a simple oracle, and the same with each guard off.
+// Stateful fuzzing of the consensus core against a simple oracle, with all guards and with each guard disabled.
 
 #include "paddlepier/consensus/fakegroup.h"
 #include "testing/property.h"
@@ -11,8 +11,8 @@
 namespace
 {
 
-/** Scenarios tried with a guard off before the test gives up finding its fault. */
-constexpr std::uint64_t mutantScenarios = 1500;
+/** Maximum number of scenarios in which a disabled guard must lead to a detected violation. */
+constexpr std::uint64_t maxMutantScenarios = 1500;
 
 std::vector<FaultStep> randomSteps(std::mt19937_64 &random, std::size_t count)
 {
@@ -35,10 +35,10 @@
     return group.violation();
 }
 
-/** True if some random scenario breaks a promise. */
-bool isBroken(ReplicaGuards guards, const FakeGroupFaults &faults = {})
+/** True if a guarantee is violated in any of the random scenarios. */
+bool findsViolation(ReplicaGuards guards, const FakeGroupFaults &faults = {})
 {
-    for (std::uint64_t seed = 1; seed <= mutantScenarios; ++seed) {
+    for (std::uint64_t seed = 1; seed <= maxMutantScenarios; ++seed) {
         std::mt19937_64 random(seed);
         if (runScenario(3, randomSteps(random, 40), guards, seed, faults)) {
             return true;
@@ -70,7 +70,7 @@
     return out << "{" << static_cast<int>(step.fault) << "," << step.first << "," << step.second << "}";
 }
 
-TEST_CASE("group_anyFaults_losesNothingAndHasOneLeader", "[proof][fuzz]")
+TEST_CASE("group_randomFaults_losesNothingAndHasOneLeader", "[proof][fuzz]")
 {
     const bool held = rc::check("three replicas under any faults", [](const std::vector<FaultStep> &steps, std::uint64_t seed) {
         const std::optional<std::string> violation = runScenario(3, steps, {}, seed);
@@ -92,24 +92,24 @@
     }
 }
 
-TEST_CASE("group_acknowledgingBeforeSync_isCaught", "[proof][red]")
+TEST_CASE("group_acknowledgingBeforeSync_isDetected", "[proof][red]")
 {
     ReplicaGuards guards;
     guards.syncBeforeAcknowledge = false;
-    REQUIRE(isBroken(guards));
+    REQUIRE(findsViolation(guards));
 }
 
-TEST_CASE("group_withoutStickyVotes_isCaught", "[proof][red]")
+TEST_CASE("group_withoutStickyVotes_isDetected", "[proof][red]")
 {
     ReplicaGuards guards;
     guards.stickyVotes = false;
-    REQUIRE(isBroken(guards));
+    REQUIRE(findsViolation(guards));
 }
 
 namespace
 {
 
-/** The leader is cut off while both others restart: its lease still runs when they could elect another. */
+/** Cuts the leader off while both others restart: its lease is still valid when they could elect another leader. */
 std::optional<std::string> restartBesideCutLeader(ReplicaGuards guards, std::uint64_t seed)
 {
     FakeGroup group(3, guards, seed);
@@ -131,7 +131,7 @@
 
 } // namespace
 
-TEST_CASE("group_restartBesideCutLeader_hasOneLease", "[proof][fuzz]")
+TEST_CASE("group_restartWhileLeaderIsCutOff_hasOneLease", "[proof][fuzz]")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         const std::optional<std::string> violation = restartBesideCutLeader({}, seed);
@@ -140,14 +140,14 @@
     }
 }
 
-TEST_CASE("group_restartTrustingAMajority_isCaught", "[proof][red]")
+TEST_CASE("group_restartElectionByMajority_isDetected", "[proof][red]")
 {
     ReplicaGuards guards;
     guards.unanimousRestart = false;
     REQUIRE(restartBesideCutLeader(guards, 1).has_value());
 }
 
-TEST_CASE("group_allRestartedAtOnce_electsWithoutWaitingForOldPromises", "[proof][fuzz]")
+TEST_CASE("group_allRestartedAtOnce_electsWithoutWaitingForPromisesToExpire", "[proof][fuzz]")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         FakeGroup group(3, {}, seed);
@@ -157,33 +157,33 @@
         for (std::uint32_t member = 0; member < 3; ++member) {
             group.step({Fault::Restart, member, 0});
         }
-        // Well below the shortest time after which a voter forgets its promise.
+        // Well below the minimum time after which a voter's promise expires.
         group.step({Fault::Run, 390, 0});
         INFO("seed " << seed);
         CHECK((group.replica(0)->isLeader() || group.replica(1)->isLeader() || group.replica(2)->isLeader()));
     }
 }
 
-TEST_CASE("group_lostDiskUnderOldName_isCaught", "[proof][red]")
+TEST_CASE("group_lostDiskWithOldIdentity_isDetected", "[proof][red]")
 {
     FakeGroupFaults faults;
     faults.keepIdentity = true;
-    REQUIRE(isBroken({}, faults));
+    REQUIRE(findsViolation({}, faults));
 }
 
-// A suspended leader whose clock doesn't count the suspension takes its lease for valid beside the next leader's.
-TEST_CASE("group_onClocksThatMissSuspensions_isCaught", "[proof][red]")
+// If its clock doesn't count the time of a suspension, a resumed leader takes its lease for valid while the next leader holds one.
+TEST_CASE("group_clocksStoppedBySuspension_isDetected", "[proof][red]")
 {
     FakeGroupFaults faults;
     faults.clocksStopWhileFrozen = true;
-    REQUIRE(isBroken({}, faults));
+    REQUIRE(findsViolation({}, faults));
 }
 
 namespace
 {
 
-/** Three times: a member loses its disk while all others lose power, right after something was proposed; all come back. */
-std::optional<std::string> disksAndPowerLost(std::uint64_t seed, const FakeGroupFaults &faults)
+/** Three times in a row, a member loses its disk while all others lose power right after a proposal; then all of them return. */
+std::optional<std::string> loseDisksAndPower(std::uint64_t seed, const FakeGroupFaults &faults)
 {
     FakeGroup group(seed % 4 == 0 ? 5 : 3, {}, seed, faults);
     for (std::uint32_t loss = 0; loss < 3; ++loss) {
@@ -208,19 +208,19 @@
 TEST_CASE("group_diskLostWhileAllOthersLosePower_losesNothing", "[proof][fuzz]")
 {
     for (std::uint64_t seed = 1; seed <= paddlepier::testing::scenarios(120); ++seed) {
-        const std::optional<std::string> violation = disksAndPowerLost(seed, {});
+        const std::optional<std::string> violation = loseDisksAndPower(seed, {});
         INFO("seed " << seed << ": " << violation.value_or(""));
         REQUIRE_FALSE(violation);
     }
 }
 
-TEST_CASE("group_diskLostWhileAllOthersLosePower_underTheOldName_isCaught", "[proof][red]")
+TEST_CASE("group_diskLostWhileAllOthersLosePowerWithOldIdentity_isDetected", "[proof][red]")
 {
     FakeGroupFaults faults;
     faults.keepIdentity = true;
     bool isCaught = false;
-    for (std::uint64_t seed = 1; seed <= mutantScenarios && !isCaught; ++seed) {
-        isCaught = disksAndPowerLost(seed, faults).has_value();
+    for (std::uint64_t seed = 1; seed <= maxMutantScenarios && !isCaught; ++seed) {
+        isCaught = loseDisksAndPower(seed, faults).has_value();
     }
     REQUIRE(isCaught);
 }
@@ -228,7 +228,7 @@
 namespace
 {
 
-/** Terms before and after a follower that was cut off for long comes back. */
+/** Terms before and after the return of a follower that was cut off for a long time. */
 std::pair<Term, Term> termsAroundReturn(ReplicaGuards guards)
 {
     FakeGroup group(3, guards, 7);
@@ -250,13 +250,13 @@
 
 } // namespace
 
-TEST_CASE("group_followerBackAfterLongCut_keepsLeaderInOffice", "[proof][fuzz]")
+TEST_CASE("group_followerReturnsAfterLongCut_keepsLeader", "[proof][fuzz]")
 {
     const auto [before, after] = termsAroundReturn({});
     REQUIRE(after == before);
 }
 
-TEST_CASE("group_followerBackWithoutPreVote_unseatsLeader", "[proof][red]")
+TEST_CASE("group_followerReturnsWithoutPreVote_deposesLeader", "[proof][red]")
 {
     ReplicaGuards guards;
     guards.preVote = false;
--- a/paddlepier/consensus/replication.cpp
+++ b/paddlepier/consensus/replication.cpp
@@ -17,7 +17,7 @@
     return absl::ToUnixMicros(time);
 }
 
-/** Rough size of an entry in a message, in bytes. */
+/** Approximate size of an entry in a message, in bytes. */
 std::size_t weightOf(const wire::LogRecordT &entry)
 {
     constexpr std::size_t overhead = 48;
@@ -140,7 +140,7 @@
 
 void Replica::sendAppend(Timestamp now, const std::string &to, Progress &progress, bool heartbeat)
 {
-    // Lost messages or answers would leave the pipeline full for ever.
+    // Otherwise lost messages or answers would leave the pipeline full for ever.
     if (heartbeat && progress.inFlight > 0 && now - progress.lastReply > 3 * this->settings.heartbeatInterval) {
         progress.inFlight = 0;
         progress.probing = true;
@@ -202,14 +202,14 @@
         progress.snapshotIndex = this->snapshot->index;
         progress.snapshotOffset = 0;
     }
-    const std::string &whole = this->snapshotBytes();
+    const std::string &packed = this->snapshotBytes();
     wire::SnapshotChunkT chunk;
     chunk.term = this->hardState.term;
     chunk.index = this->snapshot->index;
     chunk.offset = progress.snapshotOffset;
-    chunk.total = whole.size();
+    chunk.total = packed.size();
     chunk.sentAtMicros = toMicros(now);
-    chunk.data = wire::toBytes(std::string_view(whole).substr(chunk.offset, this->settings.chunkBytes));
+    chunk.data = wire::toBytes(std::string_view(packed).substr(chunk.offset, this->settings.chunkBytes));
     progress.inFlight = 1;
     progress.lastSent = now;
     this->sendNow(to, std::move(chunk));
@@ -242,7 +242,7 @@
     reply.term = this->hardState.term;
     const std::optional<Term> previousTerm = this->termAt(request.previousIndex);
     if (request.previousIndex < this->committedIndex) {
-        // Everything committed is equal on both sides; the leader goes on from there.
+        // Committed entries are equal on both sides; the leader continues from there.
         reply.accepted = true;
         reply.matchIndex = this->committedIndex;
     } else if (!previousTerm || *previousTerm != request.previousTerm) {
@@ -420,7 +420,8 @@
     }
     std::sort(matches.begin(), matches.end(), std::greater<>());
     const Index agreed = matches[this->quorum() - 1];
-    // An older term's entry on a majority may still be replaced; it is committed with the next one of this term.
+    // An entry of an older term may still be replaced although a majority has it; it is committed together with the next entry of this
+    // term.
     if (this->termAt(agreed).value_or(0) == this->hardState.term) {
         this->commitTo(agreed);
     }
@@ -439,19 +440,19 @@
     if (index <= this->baseIndex || index > this->committedIndex) {
         return;
     }
-    auto taken = std::make_shared<wire::SnapshotHeaderT>();
-    taken->index = index;
-    taken->term = *this->termAt(index);
-    taken->data = wire::toBytes(data);
+    auto created = std::make_shared<wire::SnapshotHeaderT>();
+    created->index = index;
+    created->term = *this->termAt(index);
+    created->data = wire::toBytes(data);
     wire::MembershipT covered = this->snapshot && this->snapshot->membership ? *this->snapshot->membership : wire::MembershipT();
     for (const wire::LogRecordT &entry : this->entries) {
         if (entry.index <= index && entry.kind == wire::EntryKind::Membership) {
             covered = wire::unpack<wire::MembershipT>(entry.data);
         }
     }
-    taken->membership = std::make_unique<wire::MembershipT>(covered);
-    this->snapshot = taken;
-    this->baseTerm = taken->term;
+    created->membership = std::make_unique<wire::MembershipT>(covered);
+    this->snapshot = created;
+    this->baseTerm = created->term;
     this->entries.erase(this->entries.begin(), this->entries.begin() + static_cast<std::ptrdiff_t>(index - this->baseIndex));
     this->baseIndex = index;
     this->effects.snapshot = this->snapshot;
