--- a/paddlepier/rpc/callcatalog.cpp
+++ b/paddlepier/rpc/callcatalog.cpp
@@ -1,4 +1,4 @@
-// The calls that paddlepier answers, read from the schema itself.
+// Catalog of paddlepier's calls, read from the schema.
 
 #include "paddlepier/rpc/callcatalog.h"
 
@@ -53,7 +53,7 @@
     options.indent_step = -1;
     auto parser = std::make_unique<flatbuffers::Parser>(options);
     if (!parser->Deserialize(wire::ErrorReplyBinarySchema::data(), wire::ErrorReplyBinarySchema::size())) {
-        throw InternalError("the embedded schema can't be read");
+        throw InternalError("the embedded schema can't be parsed");
     }
     return parser;
 }
@@ -67,7 +67,7 @@
 std::string fromJson(const std::string &type, std::string_view json)
 {
     if (json.find('\0') != std::string_view::npos) {
-        throw MalformedBodyError("the JSON body has a zero byte");
+        throw MalformedBodyError("the JSON body contains a null byte");
     }
     flatbuffers::Parser &parser = threadParser();
     parser.SetRootType(type.c_str());
@@ -98,7 +98,7 @@
             const std::string name = absl::StrCat(service->name, "/", call->name);
             const auto row = std::find_if(methodTable.begin(), methodTable.end(), [&name](const MethodRow &known) { return known.name == name; });
             if (row == methodTable.end()) {
-                throw InternalError(absl::StrCat("no method for ", name));
+                throw InternalError(absl::StrCat("the method table has no entry for ", name));
             }
             CallInfo info;
             info.method = row->method;
--- a/paddlepier/rpc/callcatalog.h
+++ b/paddlepier/rpc/callcatalog.h
@@ -1,14 +1,14 @@
-// The calls that paddlepier answers, read from the schema itself.
+// Catalog of paddlepier's calls, read from the schema.
 //
 // Routes, types and the JSON form of every call come from the schema's reflection data, so that a call added to the
-// schema file has its route and its checked JSON body without further code.
+// schema file gets its route and its validated JSON body from there.
 //
 // Example:
 //     const CallInfo *call = CallCatalog::instance().findRoute("/v1/JobService/Submit");
 //     const std::string request = CallCatalog::instance().requestFromJson(*call, body);
 //
-// Guarantee: bytes that come out of requestFromJson() or checkRequest() are a valid table of the call's request type.
-// Thread safety: all methods may be called from any thread; each thread keeps a parser of its own.
+// Guarantee: requestFromJson() returns a valid table of the call's request type.
+// Thread safety: all methods may be called from any thread; each thread has its own parser.
 
 #ifndef PADDLEPIER_RPC_CALLCATALOG_H
 #define PADDLEPIER_RPC_CALLCATALOG_H
@@ -22,7 +22,7 @@
 namespace paddlepier::rpc
 {
 
-/** Every call of the schema. */
+/** The calls of the schema. */
 enum class Method { Submit, List, Explain, Cancel, Status, Drain, Announce, Change, ShowStatus, DealShares, Begin, Finish, Fetch };
 
 struct CallInfo {
@@ -31,9 +31,9 @@
     std::string name;
     std::string requestType;
     std::string replyType;
-    /** Served over HTTP, not only between entry instances. */
+    /** Served over HTTP as well as between entry instances. */
     bool isPublic = false;
-    /** The least that a token must permit. */
+    /** The minimum role that a token must have. */
     wire::Role role = wire::Role::None;
 };
 
@@ -42,14 +42,14 @@
 public:
     static const CallCatalog &instance();
 
-    /** Null if @p path is not the route of a public call. */
+    /** @return null if @p path isn't the route of a public call */
     const CallInfo *findRoute(std::string_view path) const;
-    /** Null if the schema has no such call. */
+    /** @return null if the schema has no such call */
     const CallInfo *findName(std::string_view name) const;
     const CallInfo &info(Method method) const;
     const std::vector<CallInfo> &calls() const;
 
-    /** @throws MalformedBodyError naming what is wrong in @p json */
+    /** @throws MalformedBodyError naming the fault in @p json */
     std::string requestFromJson(const CallInfo &call, std::string_view json) const;
     std::string replyFromJson(const CallInfo &call, std::string_view json) const;
     std::string requestToJson(const CallInfo &call, std::string_view bytes) const;
@@ -61,10 +61,10 @@
     std::vector<CallInfo> callList;
 };
 
-/** JSON body of an error answer. */
+/** Builds the JSON body of an error response. */
 std::string errorJson(wire::ErrorCode code, std::string_view message);
 
-/** Reads the JSON body of an error answer. @throws MalformedBodyError if it isn't one */
+/** Parses the JSON body of an error response. @throws MalformedBodyError if it isn't one */
 wire::ErrorReplyT errorFromJson(std::string_view json);
 
 } // namespace paddlepier::rpc
