--- a/paddlepier/cluster/coreprocess.cpp
+++ b/paddlepier/cluster/coreprocess.cpp
@@ -70,7 +70,7 @@
     , dispatchTimes(this->counters.histogram("control_dispatch"))
     , ledgerTimes(this->counters.histogram("control_ledger"))
     , orderRelay(this->relayHooks())
-    , watch(this->watchHooks())
+    , workerWatch(this->watchHooks())
     , nextRequestId(randomSeed())
     , incarnation(randomSeed())
 {
@@ -116,7 +116,7 @@
             [this](const std::string &instance, const work::AdviceCallT &call, Timestamp deadline, std::function<void(execution::AdviceAnswer)> done) {
                 this->requestAdviceVia(instance, call, deadline, std::move(done));
             },
-            this->callers,
+            this->adviceCallers,
             this->counters,
             now);
         log::info("cluster",
@@ -164,14 +164,14 @@
     if (!this->service && now >= this->nextPresence && !this->isStopping()) {
         this->sendPresence(now);
     }
-    if (!this->heartbeats.isEmpty() && now >= this->nextHeartbeats) {
+    if (!this->heartbeatBatcher.isEmpty() && now >= this->nextHeartbeats) {
         this->nextHeartbeats = now + heartbeatBatchInterval;
         // A batch that gets lost is made up for by the workers' next announcements.
-        this->leader->call(now, WorkMethod::Heartbeats, wire::pack(this->heartbeats.drain()), presenceTimeout, [](const CallResult &) {});
+        this->leader->call(now, WorkMethod::Heartbeats, wire::pack(this->heartbeatBatcher.drain()), presenceTimeout, [](const CallResult &) {});
     }
     // Without the lease another leader may be active: no orders are sent until this replica holds the lease again.
     if (this->service && this->node->isServing(now)) {
-        this->callers.markAlive(now, this->options.settings.id);
+        this->adviceCallers.markAlive(now, this->options.settings.id);
         const ScopeTimer timer(this->dispatchTimes);
         this->service->step(now);
         this->reportLoad(now);
@@ -249,7 +249,7 @@
     if (method != WorkMethod::Announce || this->service || this->isStopping() || now - this->leader->lastAnswerAt() > leaderContactTimeout) {
         return false;
     }
-    return this->heartbeats.absorb(this->node->state(), wire::unpack<work::AnnounceCallT>(body));
+    return this->heartbeatBatcher.absorb(this->node->state(), wire::unpack<work::AnnounceCallT>(body));
 }
 
 std::uint64_t CoreProcess::expectReply(Timestamp deadline, std::function<void(const wire::CallReplyT *)> done)
@@ -353,7 +353,7 @@
         this->sendReply(fromInstance, std::move(answer));
     };
     if (std::holds_alternative<execution::PollOrder>(call.order)) {
-        this->watch.poll(fromInstance, call, reply);
+        this->workerWatch.poll(fromInstance, call, reply);
         return;
     }
     this->workers.call(call, [this, reply](const execution::WorkerAnswer &received) { this->post([reply, received] { reply(received); }); });
--- a/paddlepier/cluster/coreprocess.h
+++ b/paddlepier/cluster/coreprocess.h
@@ -90,17 +90,17 @@
     std::unique_ptr<WorkloadNode> node;
     std::unique_ptr<WorkService> service;
     consensus::Term serviceTerm = 0;
-    AdviceCallerPool callers;
+    AdviceCallerPool adviceCallers;
     OrderRelay orderRelay;
     /** Data centres of this instance and of the core instances that have reported their presence. */
     std::map<std::string, std::string> dataCentres;
     ServingWatchdog servingWatchdog;
-    HeartbeatBatcher heartbeats;
+    HeartbeatBatcher heartbeatBatcher;
     Timestamp nextHeartbeats = absl::InfinitePast();
     Timestamp nextPresence = absl::InfinitePast();
     /** Orders that this core is relaying for the leader. */
     std::size_t relayedCalls = 0;
-    WorkerWatch watch;
+    WorkerWatch workerWatch;
     std::unordered_map<std::uint64_t, std::function<void(const wire::CallReplyT *)>> pendingReplies;
     /** Deadlines of replies; the entry of an answered request stays until its deadline. */
     execution::TimerQueue<std::uint64_t> replyTimers;
--- a/paddlepier/consensus/replica.h
+++ b/paddlepier/consensus/replica.h
@@ -120,7 +120,7 @@
     void tick(Timestamp now);
     void receive(Timestamp now, const std::string &from, wire::PeerBodyUnion body);
 
-    /** As leader: sends proposed entries to the followers, without waiting for the own disk. */
+    /** As leader: sends proposed entries to the followers, without waiting for its own disk. */
     void replicate(Timestamp now);
 
     /** Appends an entry if this replica leads. @return its index, or nothing */
