--- a/paddlepier/routing/quickrouter.cpp
+++ b/paddlepier/routing/quickrouter.cpp
@@ -16,14 +16,14 @@
 
 using wire::RequestOutcome;
 
-/** Added to a deadline before a silent worker's slot is used again: network delay and timer granularity. */
+/** Added to the longest request time before the slot of an unresponsive worker is reused, for network delay and timer granularity. */
 constexpr Duration stopMargin = absl::Milliseconds(100);
-constexpr Duration shortestEjection = absl::Seconds(1);
-constexpr std::uint32_t longestEjectionExponent = 5;
+constexpr Duration minEjection = absl::Seconds(1);
+constexpr std::uint32_t maxEjectionExponent = 5;
 constexpr Duration hopAvoidance = absl::Milliseconds(200);
-constexpr Duration shortestRetryAfter = absl::Milliseconds(100);
-constexpr double mostRetryTokens = 10;
-constexpr double smoothing = 0.05;
+constexpr Duration minRetryAfter = absl::Milliseconds(100);
+constexpr double maxRetryTokens = 10;
+constexpr double serviceTimeSmoothing = 0.05;
 
 } // namespace
 
@@ -42,7 +42,7 @@
 
 void QuickRouter::submit(Timestamp now, const QuickRequest &request)
 {
-    this->retryTokens = std::min(this->retryTokens + this->limits.retryBudget, mostRetryTokens);
+    this->retryTokens = std::min(this->retryTokens + this->limits.retryBudget, maxRetryTokens);
     PendingRequest &pending = this->pendingRequests[request.id];
     pending.request = request;
     this->dispatch(now, request.id);
@@ -55,7 +55,7 @@
         this->giveUp(now, id, GiveUpReason::DeadlinePassed);
         return;
     }
-    // Those that wait already go first.
+    // Queued requests with an earlier deadline go first.
     const bool mayStart = this->queue.empty() || this->queue.begin()->first >= pending.request.deadline;
     if (mayStart && this->sendToWorker(now, pending)) {
         return;
@@ -103,9 +103,9 @@
     if (this->names.empty()) {
         return "";
     }
-    std::uniform_int_distribution<std::size_t> any(0, this->names.size() - 1);
-    const std::string &first = this->names[any(this->random)];
-    const std::string &second = this->names[any(this->random)];
+    std::uniform_int_distribution<std::size_t> anyIndex(0, this->names.size() - 1);
+    const std::string &first = this->names[anyIndex(this->random)];
+    const std::string &second = this->names[anyIndex(this->random)];
     if (isUsable(first) && isUsable(second)) {
         const auto load = [this](const std::string &name) {
             const Backend &backend = this->backends.at(name);
@@ -119,14 +119,14 @@
     if (isUsable(second)) {
         return second;
     }
-    const std::size_t start = any(this->random);
+    const std::size_t start = anyIndex(this->random);
     for (std::size_t step = 0; step < this->names.size(); ++step) {
         const std::string &name = this->names[(start + step) % this->names.size()];
         if (isUsable(name)) {
             return name;
         }
     }
-    // Better the worker that failed this request before, or an ejected one, than none.
+    // Without any other usable worker, the request goes to the one that failed it before, even if that one is ejected.
     for (const std::string &name : this->names) {
         if (this->hasFreeSlot(now, this->backends.at(name)) && name == avoid) {
             return name;
@@ -146,9 +146,9 @@
     Attempt attempt;
     attempt.target = name;
     attempt.address = backend.address;
-    // The lease was renewed since it was granted; the worker's clock has gone forward at least by this much.
-    const Duration renewed = (backend.leaseEnd - backend.grantedAt - this->limits.shareLease) * (1.0 - 2.0 * this->limits.driftPerMille / 1000.0);
-    attempt.validUntilWorkerMicros = backend.validUntilWorkerMicros + absl::ToInt64Microseconds(renewed);
+    // Renewals since the grant have extended the lease; even a slow worker clock has advanced by at least this amount.
+    const Duration leaseExtension = (backend.leaseEnd - backend.grantedAt - this->limits.shareLease) * (1.0 - 2.0 * this->limits.driftPerMille / 1000.0);
+    attempt.validUntilWorkerMicros = backend.validUntilWorkerMicros + absl::ToInt64Microseconds(leaseExtension);
     attempt.connections = backend.connections;
     this->send(now, pending, std::move(attempt));
     return true;
@@ -159,8 +159,8 @@
     if (!pending.request.mayHop || pending.hasHopped || this->hopTargets.empty() || this->hopsInFlight >= this->limits.hopsInFlight) {
         return false;
     }
-    std::uniform_int_distribution<std::size_t> any(0, this->hopTargets.size() - 1);
-    const std::size_t start = any(this->random);
+    std::uniform_int_distribution<std::size_t> anyIndex(0, this->hopTargets.size() - 1);
+    const std::size_t start = anyIndex(this->random);
     for (std::size_t step = 0; step < this->hopTargets.size(); ++step) {
         const HopTarget &target = this->hopTargets[(start + step) % this->hopTargets.size()];
         if (now < target.avoidUntil) {
@@ -185,9 +185,9 @@
     attempt.id = this->nextAttempt++;
     attempt.request = pending.request.id;
     const Duration remaining = pending.request.deadline - now;
-    // A first attempt that hangs must leave an idempotent request time for a second one.
-    const bool leavesTime = pending.request.isIdempotent && pending.attempts == 1 && !attempt.isHop;
-    attempt.deadline = leavesTime ? remaining / 2 : remaining;
+    // If the first attempt hangs, half of the time remains for a second attempt of an idempotent request.
+    const bool reservesRetryTime = pending.request.isIdempotent && pending.attempts == 1 && !attempt.isHop;
+    attempt.deadline = reservesRetryTime ? remaining / 2 : remaining;
     attempt.timeout = attempt.isHop ? attempt.deadline : this->limits.maxRequestTime;
     InFlightAttempt flight;
     flight.request = pending.request.id;
@@ -211,12 +211,12 @@
     if (!flight.isAbandoned && (end == AttemptEnd::Answered || end == AttemptEnd::Failed)) {
         this->finish(flight.request, end == AttemptEnd::Answered ? RequestOutcome::Completed : RequestOutcome::Failed, attempt, GiveUpReason::None);
     } else if (!flight.isAbandoned) {
-        this->attemptFailed(now, flight.request, end);
+        this->retryOrGiveUp(now, flight.request, end);
     }
     this->dispatchQueue(now);
 }
 
-void QuickRouter::attemptFailed(Timestamp now, std::uint64_t request, AttemptEnd end)
+void QuickRouter::retryOrGiveUp(Timestamp now, std::uint64_t request, AttemptEnd end)
 {
     PendingRequest &pending = this->pendingRequests.at(request);
     pending.mayHaveRun = pending.mayHaveRun || end == AttemptEnd::Broken;
@@ -229,15 +229,15 @@
 
 void QuickRouter::abandonExpired(Timestamp now)
 {
-    std::vector<std::uint64_t> late;
+    std::vector<std::uint64_t> expired;
     for (auto &[id, flight] : this->inFlightAttempts) {
         if (!flight.isAbandoned && now >= flight.deadline) {
             flight.isAbandoned = true;
-            late.push_back(flight.request);
+            expired.push_back(flight.request);
         }
     }
-    for (const std::uint64_t request : late) {
-        this->attemptFailed(now, request, AttemptEnd::Broken);
+    for (const std::uint64_t request : expired) {
+        this->retryOrGiveUp(now, request, AttemptEnd::Broken);
     }
 }
 
@@ -263,7 +263,7 @@
         --found->second.inUse;
     }
     if (end == AttemptEnd::Answered || end == AttemptEnd::Failed) {
-        this->meanServiceSeconds += smoothing * (absl::ToDoubleSeconds(now - flight.started) - this->meanServiceSeconds);
+        this->meanServiceSeconds += serviceTimeSmoothing * (absl::ToDoubleSeconds(now - flight.started) - this->meanServiceSeconds);
     }
     this->recordResult(now, found->second, end);
 }
@@ -278,14 +278,14 @@
         return;
     }
     ++backend.failures;
-    // Rounded up, so that in a small data centre too more than one can be left out; but never the last one.
-    const auto part = static_cast<std::size_t>(std::ceil(this->limits.maxEjectedShare * static_cast<double>(this->backends.size())));
-    const std::size_t mostEjected = std::min(part, this->backends.size() - 1);
-    if (backend.failures < this->limits.failuresToEject || this->ejectedCount(now) >= mostEjected) {
+    // Rounded up, so that even a small data centre can eject more than one worker. One worker always remains.
+    const auto ejectionLimit = static_cast<std::size_t>(std::ceil(this->limits.maxEjectedShare * static_cast<double>(this->backends.size())));
+    const std::size_t maxEjected = std::min(ejectionLimit, this->backends.size() - 1);
+    if (backend.failures < this->limits.failuresToEject || this->ejectedCount(now) >= maxEjected) {
         return;
     }
-    const std::uint32_t exponent = std::min(backend.failures - this->limits.failuresToEject, longestEjectionExponent);
-    backend.ejectedUntil = now + shortestEjection * (1 << exponent);
+    const std::uint32_t exponent = std::min(backend.failures - this->limits.failuresToEject, maxEjectionExponent);
+    backend.ejectedUntil = now + minEjection * (1 << exponent);
 }
 
 bool QuickRouter::mayRetry(const PendingRequest &pending, AttemptEnd end, Timestamp now)
@@ -317,8 +317,8 @@
 
 void QuickRouter::giveUp(Timestamp now, std::uint64_t id, GiveUpReason reason)
 {
-    const bool maybeRun = this->pendingRequests.at(id).mayHaveRun;
-    this->finish(id, maybeRun ? RequestOutcome::Unknown : RequestOutcome::NotRun, 0, reason);
+    const bool mayHaveReachedWorker = this->pendingRequests.at(id).mayHaveRun;
+    this->finish(id, mayHaveReachedWorker ? RequestOutcome::Unknown : RequestOutcome::NotRun, 0, reason);
     this->finished.back().retryAfter = this->retryAfter(now);
 }
 
@@ -337,7 +337,7 @@
 
 Duration QuickRouter::retryAfter(Timestamp now)
 {
-    const Duration wait = std::min(std::max(this->expectedWait(now), shortestRetryAfter), absl::Seconds(10));
+    const Duration wait = std::min(std::max(this->expectedWait(now), minRetryAfter), absl::Seconds(10));
     std::uniform_real_distribution<double> jitter(1.0, 1.5);
     return wait * jitter(this->random);
 }
@@ -401,7 +401,7 @@
             this->names.push_back(share->worker);
         }
     }
-    // Workers without share or use are forgotten, or the table would grow with every worker that ever was.
+    // Workers with neither a share nor a slot in use are removed. Otherwise the table would grow with every worker ever seen.
     std::erase_if(this->names, [this](const std::string &name) {
         const Backend &backend = this->backends.at(name);
         const bool isUnused = backend.cap == 0 && backend.inUse == 0;
--- a/paddlepier/routing/quickrouter_test.cpp
+++ b/paddlepier/routing/quickrouter_test.cpp
@@ -1,4 +1,4 @@
-// Routing of quick requests: directed cases, and random ones with an oracle.
+// QuickRouter: directed cases, and random requests and failures that an oracle checks.
 
 #include "paddlepier/routing/quickrouter.h"
 
@@ -35,7 +35,7 @@
 class QuickRouterFixture
 {
 protected:
-    /** Submits a request and gives the attempt that it leads to. */
+    /** Submits a request and returns the single attempt that it causes. */
     Attempt submitOne(QuickRouter &router, std::uint64_t id, bool isIdempotent)
     {
         router.submit(this->now, {id, this->now + absl::Seconds(2), isIdempotent, true});
@@ -47,7 +47,7 @@
     Timestamp now = absl::UnixEpoch() + absl::Hours(1);
 };
 
-/** Random requests, answers and losses; watches what runs where. */
+/** Runs random requests, answers and losses. @return the first violation of the router's guarantees, if any */
 std::optional<std::string> runScenario(std::uint64_t seed, RouterGuards guards)
 {
     std::mt19937_64 random(seed);
@@ -56,15 +56,15 @@
     limits.maxRequestTime = absl::Seconds(2);
     QuickRouter router(limits, seed, guards);
     const std::map<std::string, std::uint32_t> slots{{"w1", 3}, {"w2", 2}};
-    struct Work {
+    struct SentAttempt {
         Attempt attempt;
         Timestamp workerEnd;
-        Timestamp told;
+        Timestamp reportedAt;
         AttemptEnd end = AttemptEnd::Answered;
     };
-    std::vector<Work> works;
+    std::vector<SentAttempt> sentAttempts;
     std::map<std::uint64_t, bool> idempotent;
-    std::map<std::uint64_t, std::size_t> sent;
+    std::map<std::uint64_t, std::size_t> possibleRuns;
     std::map<std::uint64_t, std::size_t> finished;
     std::uint64_t nextId = 1;
     for (int step = 0; step < 800; ++step) {
@@ -77,55 +77,55 @@
             idempotent[nextId] = isIdempotent;
             router.submit(now, {nextId++, now + absl::Milliseconds(100 + random() % 900), isIdempotent, false});
         }
-        for (std::size_t index = 0; index < works.size();) {
-            if (works[index].told > now) {
+        for (std::size_t index = 0; index < sentAttempts.size();) {
+            if (sentAttempts[index].reportedAt > now) {
                 ++index;
                 continue;
             }
-            const Work work = works[index];
-            works[index].told = absl::InfiniteFuture();
-            router.recordAttemptEnd(now, work.attempt.id, work.end);
+            const SentAttempt sentAttempt = sentAttempts[index];
+            sentAttempts[index].reportedAt = absl::InfiniteFuture();
+            router.recordAttemptEnd(now, sentAttempt.attempt.id, sentAttempt.end);
         }
         router.tick(now);
         for (const Attempt &attempt : router.drainAttempts()) {
-            Work work;
-            work.attempt = attempt;
+            SentAttempt sentAttempt;
+            sentAttempt.attempt = attempt;
             const std::uint64_t fate = random() % 10;
-            work.end = fate == 0 ? AttemptEnd::Broken : fate == 1 ? AttemptEnd::NotSent : fate == 2 ? AttemptEnd::Refused : AttemptEnd::Answered;
-            const bool runs = work.end == AttemptEnd::Answered || work.end == AttemptEnd::Broken;
-            work.workerEnd = runs ? now + absl::Milliseconds(20 + random() % 1900) : now;
-            work.told = work.end == AttemptEnd::Broken ? now + absl::Milliseconds(10) : work.workerEnd;
-            works.push_back(work);
-            sent[attempt.request] += runs ? 1 : 0;
-            if (sent[attempt.request] > 1 && !idempotent[attempt.request]) {
+            sentAttempt.end = fate == 0 ? AttemptEnd::Broken : fate == 1 ? AttemptEnd::NotSent : fate == 2 ? AttemptEnd::Refused : AttemptEnd::Answered;
+            const bool runs = sentAttempt.end == AttemptEnd::Answered || sentAttempt.end == AttemptEnd::Broken;
+            sentAttempt.workerEnd = runs ? now + absl::Milliseconds(20 + random() % 1900) : now;
+            sentAttempt.reportedAt = sentAttempt.end == AttemptEnd::Broken ? now + absl::Milliseconds(10) : sentAttempt.workerEnd;
+            sentAttempts.push_back(sentAttempt);
+            possibleRuns[attempt.request] += runs ? 1 : 0;
+            if (possibleRuns[attempt.request] > 1 && !idempotent[attempt.request]) {
                 return "a request that must not be repeated was sent twice";
             }
         }
-        std::map<std::string, std::uint32_t> busy;
-        for (const Work &work : works) {
-            busy[work.attempt.target] += work.workerEnd > now ? 1 : 0;
+        std::map<std::string, std::uint32_t> inUse;
+        for (const SentAttempt &sentAttempt : sentAttempts) {
+            inUse[sentAttempt.attempt.target] += sentAttempt.workerEnd > now ? 1 : 0;
         }
-        for (const auto &[worker, count] : busy) {
+        for (const auto &[worker, count] : inUse) {
             if (count > slots.at(worker)) {
-                return absl::StrCat(worker, " had ", count, " requests at a time");
+                return absl::StrCat(worker, " had ", count, " requests in flight at a time");
             }
         }
         for (const Finished &result : router.drainFinished()) {
             if (++finished[result.request] > 1) {
                 return "a request was finished twice";
             }
-            if (result.outcome == wire::RequestOutcome::NotRun && sent[result.request] > 0) {
-                return "a request that was sent is said not to have run";
+            if (result.outcome == wire::RequestOutcome::NotRun && possibleRuns[result.request] > 0) {
+                return "a request that may have run was reported as NotRun";
             }
             if (result.outcome == wire::RequestOutcome::NotRun && result.retryAfter <= absl::ZeroDuration()) {
-                return "a request was given up without a time to come back";
+                return "a request that was not run has no retryAfter";
             }
         }
     }
     return finished.size() + 1 == nextId ? std::nullopt : std::make_optional<std::string>("a request was never finished");
 }
 
-bool isBroken(RouterGuards guards)
+bool violatesInSomeScenario(RouterGuards guards)
 {
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         if (runScenario(seed, guards)) {
@@ -137,7 +137,7 @@
 
 } // namespace
 
-TEST_CASE("router_anyFaults_keepsSharesAndTellsTheTruth", "[proof][fuzz]")
+TEST_CASE("router_anyFaults_respectsSharesAndReportsTrueOutcomes", "[proof][fuzz]")
 {
     for (std::uint64_t number = 1; number <= testing::scenarios(100); ++number) {
         const std::uint64_t seed = number + testing::seedBase();
@@ -147,28 +147,28 @@
     }
 }
 
-TEST_CASE("router_ignoringShare_isCaught", "[proof][red]")
+TEST_CASE("router_shareIgnored_isCaught", "[proof][red]")
 {
     RouterGuards guards;
     guards.respectShare = false;
-    REQUIRE(isBroken(guards));
+    REQUIRE(violatesInSomeScenario(guards));
 }
 
-TEST_CASE("router_freeingSlotOfBrokenAttempt_isCaught", "[proof][red]")
+TEST_CASE("router_slotOfBrokenAttemptReleasedEarly_isCaught", "[proof][red]")
 {
     RouterGuards guards;
     guards.holdSlotOfBroken = false;
-    REQUIRE(isBroken(guards));
+    REQUIRE(violatesInSomeScenario(guards));
 }
 
-TEST_CASE("router_repeatingAnyRequest_isCaught", "[proof][red]")
+TEST_CASE("router_nonIdempotentRequestRepeated_isCaught", "[proof][red]")
 {
     RouterGuards guards;
     guards.repeatOnlyIdempotent = false;
-    REQUIRE(isBroken(guards));
+    REQUIRE(violatesInSomeScenario(guards));
 }
 
-TEST_CASE_METHOD(QuickRouterFixture, "submit_withoutAnyShare_isGivenUpAtOnce")
+TEST_CASE_METHOD(QuickRouterFixture, "submit_withoutAnyShare_endsNotRunAtOnce")
 {
     QuickRouter router({}, 1);
     router.submit(this->now, {1, this->now + absl::Seconds(2), true, false});
@@ -178,7 +178,7 @@
     REQUIRE(finished[0].reason == GiveUpReason::NoShare);
 }
 
-TEST_CASE_METHOD(QuickRouterFixture, "attempt_hangsAndIsIdempotent_leavesTimeForAnother")
+TEST_CASE_METHOD(QuickRouterFixture, "attempt_hangsAndIsIdempotent_isRetriedAtAnotherWorker")
 {
     QuickRouter router({}, 1);
     router.setShares(this->now, this->now, sharesOf({{"w1", 1}, {"w2", 1}}));
@@ -200,16 +200,16 @@
     REQUIRE(router.drainFinished().at(0).outcome == wire::RequestOutcome::Unknown);
 }
 
-TEST_CASE_METHOD(QuickRouterFixture, "worker_failsEverything_isLeftAlone")
+TEST_CASE_METHOD(QuickRouterFixture, "worker_failsEveryRequest_isEjected")
 {
     QuickRouter router({}, 1);
     router.setShares(this->now, this->now, sharesOf({{"bad", 8}, {"good1", 8}, {"good2", 8}}));
-    std::size_t lateToBad = 0;
+    std::size_t lateAttemptsToBad = 0;
     for (std::uint64_t id = 1; id <= 200; ++id) {
         const Attempt attempt = this->submitOne(router, id, false);
-        lateToBad += id > 100 && attempt.target == "bad" ? 1 : 0;
+        lateAttemptsToBad += id > 100 && attempt.target == "bad" ? 1 : 0;
         router.recordAttemptEnd(this->now, attempt.id, attempt.target == "bad" ? AttemptEnd::Failed : AttemptEnd::Answered);
         router.drainFinished();
     }
-    REQUIRE(lateToBad == 0);
+    REQUIRE(lateAttemptsToBad == 0);
 }
--- a/paddlepier/routing/shareallocator.cpp
+++ b/paddlepier/routing/shareallocator.cpp
@@ -1,4 +1,4 @@
-// Dealing of workers' slots to entry instances.
+// Allocation of workers' slots to entry instances.
 
 #include "paddlepier/routing/shareallocator.h"
 
@@ -25,8 +25,8 @@
 
 Duration ShareAllocator::holdTime() const
 {
-    const Duration longest = this->timing.lease + this->timing.maxRequestTime;
-    return longest * (1.0 + 2.0 * this->timing.driftPerMille / 1000.0);
+    const Duration maxUseTime = this->timing.lease + this->timing.maxRequestTime;
+    return maxUseTime * (1.0 + 2.0 * this->timing.driftPerMille / 1000.0);
 }
 
 void ShareAllocator::removeUnresponsive(Timestamp now)
@@ -43,9 +43,9 @@
     if (!this->guards.waitForEntries || now >= this->leaderSince + this->holdTime()) {
         return true;
     }
-    const auto known = this->entries.find(partner);
-    const auto spoken = this->reportedEntries.find(partner);
-    return spoken != this->reportedEntries.end() && spoken->second.size() >= known->second.size();
+    const auto partnerEntries = this->entries.find(partner);
+    const auto reported = this->reportedEntries.find(partner);
+    return reported != this->reportedEntries.end() && reported->second.size() >= partnerEntries->second.size();
 }
 
 std::uint32_t ShareAllocator::heldByOthers(const std::string &partner, const std::string &worker, const HolderKey &self) const
@@ -68,8 +68,8 @@
             demand = std::max(demand, holder.demand);
         }
     }
-    // Every entry counts as wanting a little, so that one without requests can take the first at once; in powers of two,
-    // so that small changes of demand don't move shares.
+    // The minimum of 1 leaves an instance without requests a share, so that it can send its first request at once. Rounding
+    // up to a power of two keeps shares stable while demand changes little.
     return std::bit_ceil(demand + 1);
 }
 
@@ -79,7 +79,7 @@
     double all = 0;
     double before = 0;
     double own = 0;
-    // Entries are ordered anew for each worker: otherwise rounding would favour the same one at all workers.
+    // The order of the instances is rotated for each worker. Otherwise rounding would favour the same instance at all workers.
     for (std::size_t step = 0; step < names.size(); ++step) {
         const std::string &name = names[(step + position) % names.size()];
         const double demand = this->demandOf(partner, name);
@@ -87,7 +87,7 @@
         own = name == instance ? demand : own;
         all += demand;
     }
-    // Cutting one line at each entry's running sum makes whole numbers that add up to the slots exactly.
+    // Differences of rounded running sums are integers that add up to exactly the worker's slots.
     const auto cut = [&](double sum) { return static_cast<std::uint32_t>(sum / all * worker.slots + 1e-9); };
     return cut(before + own) - cut(before);
 }
@@ -99,30 +99,31 @@
         holder.held = holder.granted;
     }
     for (const auto &use : request.uses) {
-        const std::uint32_t most = std::max(use->cap, use->inUse);
+        const std::uint32_t maxInUse = std::max(use->cap, use->inUse);
         std::uint32_t &held = holder.held[use->worker];
-        held = this->guards.countHeld ? std::max(held, most) : 0;
+        held = this->guards.countHeld ? std::max(held, maxInUse) : 0;
     }
 }
 
 wire::SharesReplyT ShareAllocator::allocate(Timestamp now, const wire::SharesRequestT &request, const std::vector<ServingWorker> &workers)
 {
-    const auto known = this->entries.find(request.partner);
-    if (known == this->entries.end() || std::find(known->second.begin(), known->second.end(), request.instance) == known->second.end()) {
+    const auto partnerEntries = this->entries.find(request.partner);
+    if (partnerEntries == this->entries.end()
+        || std::find(partnerEntries->second.begin(), partnerEntries->second.end(), request.instance) == partnerEntries->second.end()) {
         throw ConflictError(absl::StrCat(request.instance, " is not an entry instance of ", request.partner, " here"));
     }
     this->removeUnresponsive(now);
     const HolderKey key{request.instance, request.incarnation};
-    const auto &sameRuns = this->holders[request.partner];
-    const auto earlier = sameRuns.find(key);
-    const std::uint64_t newest = earlier == sameRuns.end() ? 0 : earlier->second.sequence;
-    const bool isBaseKnown = request.baseSequence != 0 && request.baseSequence == newest;
+    const auto &partnerHolders = this->holders[request.partner];
+    const auto previous = partnerHolders.find(key);
+    const std::uint64_t lastSequence = previous == partnerHolders.end() ? 0 : previous->second.sequence;
+    const bool isBaseKnown = request.baseSequence != 0 && request.baseSequence == lastSequence;
     if (!request.isComplete && !isBaseKnown) {
-        throw ConflictError("the request must be complete: its base is not known here");
+        throw ConflictError("the request must be complete: the reply that it is based on is not known here");
     }
     Holder &holder = this->holders[request.partner][key];
     if (request.sequence <= holder.sequence) {
-        throw ConflictError(absl::StrCat("sequence ", request.sequence, " of ", request.instance, " was answered"));
+        throw ConflictError(absl::StrCat("sequence ", request.sequence, " of ", request.instance, " was already answered"));
     }
     holder.demand = request.demand;
     holder.heldUntil = now + this->holdTime();
@@ -135,16 +136,16 @@
     wire::SharesReplyT reply;
     reply.isChange = isBaseKnown;
     reply.leaseMillis = static_cast<std::uint32_t>(absl::ToInt64Milliseconds(this->timing.lease));
-    const bool spread = this->mayRedistribute(now, request.partner);
-    const auto entryCount = static_cast<std::uint32_t>(known->second.size());
+    const bool canRedistribute = this->mayRedistribute(now, request.partner);
+    const auto entryCount = static_cast<std::uint32_t>(partnerEntries->second.size());
     absl::flat_hash_map<std::string, std::uint32_t> granted;
     for (std::size_t position = 0; position < workers.size(); ++position) {
         const ServingWorker &worker = workers[position];
         const std::uint32_t others = this->heldByOthers(request.partner, worker.name, key);
-        const std::uint32_t room = worker.slots > others ? worker.slots - others : 0;
+        const std::uint32_t freeSlots = worker.slots > others ? worker.slots - others : 0;
         std::uint32_t &held = holder.held[worker.name];
-        const std::uint32_t wanted = this->target(request.partner, request.instance, worker, position);
-        const std::uint32_t slots = std::min(wanted, spread || worker.isFresh ? room : std::min(room, held));
+        const std::uint32_t targetSlots = this->target(request.partner, request.instance, worker, position);
+        const std::uint32_t slots = std::min(targetSlots, canRedistribute || worker.isFresh ? freeSlots : std::min(freeSlots, held));
         held = std::max(held, slots);
         const auto before = holder.granted.find(worker.name);
         const std::uint32_t grantedBefore = before == holder.granted.end() ? 0 : before->second;
--- a/paddlepier/routing/shareallocator_test.cpp
+++ b/paddlepier/routing/shareallocator_test.cpp
@@ -1,4 +1,4 @@
-// Shares: random entries, losses, restarts and leader changes, with an oracle that adds up what may be in use.
+// ShareAllocator under random requests, lost replies, restarts and leader changes. An oracle sums up the slots in use.
 
 #include "paddlepier/routing/shareallocator.h"
 
@@ -20,10 +20,10 @@
 constexpr std::uint32_t slots = 8;
 constexpr Duration stepTime = absl::Milliseconds(50);
 constexpr Duration lease = absl::Milliseconds(1500);
-constexpr Duration longestRequest = absl::Seconds(3);
-constexpr std::uint64_t mutantScenarios = 300;
+constexpr Duration maxRequestTime = absl::Seconds(3);
+constexpr std::uint64_t redScenarios = 300;
 
-/** An entry that uses its share of one worker as greedily as it may. */
+/** An entry instance that uses its share of one worker to the full. */
 struct FakeEntry {
     std::string name;
     std::uint64_t incarnation = 1;
@@ -32,8 +32,9 @@
     std::uint64_t answered = 0;
     std::uint32_t cap = 0;
     Timestamp leaseEnd;
-    /** Ends of requests in flight; those of earlier runs of the process included. */
+    /** Ends of the requests in flight of this process. */
     std::vector<Timestamp> inFlight;
+    /** Ends of the requests in flight of its earlier incarnations. */
     std::vector<Timestamp> orphaned;
     bool frozen = false;
     std::optional<std::pair<Timestamp, wire::SharesReplyT>> reply;
@@ -57,25 +58,25 @@
 
     std::optional<std::string> run()
     {
-        for (int step = 0; step < 1500 && !this->broken; ++step) {
+        for (int step = 0; step < 1500 && !this->firstViolation; ++step) {
             this->now += stepTime;
-            this->inject();
+            this->injectFault();
             for (FakeEntry &entry : this->entries) {
-                this->work(entry);
+                this->advanceEntry(entry);
             }
-            this->look();
+            this->checkSlotsInUse();
         }
-        return this->broken;
+        return this->firstViolation;
     }
 
-    /** Slots held by all entries after a quiet time. */
-    std::uint32_t capsAfterQuiet()
+    /** Sum of the shares of all instances after a period of low demand without injected faults. */
+    std::uint32_t sumOfSharesAfterIdlePeriod()
     {
-        this->isQuiet = true;
+        this->isIdle = true;
         for (int step = 0; step < 400; ++step) {
             this->now += stepTime;
             for (FakeEntry &entry : this->entries) {
-                this->work(entry);
+                this->advanceEntry(entry);
             }
         }
         std::uint32_t sum = 0;
@@ -86,27 +87,27 @@
     }
 
 private:
-    std::size_t chance(std::size_t bound)
+    std::size_t randomBelow(std::size_t bound)
     {
         return std::uniform_int_distribution<std::size_t>(0, bound - 1)(this->random);
     }
 
     void elect()
     {
-        const ShareTiming timing{lease, longestRequest, 10};
-        this->dealer =
+        const ShareTiming timing{lease, maxRequestTime, 10};
+        this->allocator =
             std::make_unique<ShareAllocator>(std::map<std::string, std::vector<std::string>>{{"p", {"a", "b", "c"}}}, timing, this->now, this->guards);
     }
 
-    void inject()
+    void injectFault()
     {
-        FakeEntry &entry = this->entries[this->chance(this->entries.size())];
-        switch (this->chance(60)) {
+        FakeEntry &entry = this->entries[this->randomBelow(this->entries.size())];
+        switch (this->randomBelow(60)) {
         case 0:
             entry.frozen = !entry.frozen;
             break;
         case 1:
-            // A killed and restarted entry: its requests go on at the worker.
+            // The entry instance is killed and restarted; its requests continue at the worker.
             entry.orphaned.insert(entry.orphaned.end(), entry.inFlight.begin(), entry.inFlight.end());
             entry.inFlight.clear();
             entry.cap = 0;
@@ -124,11 +125,11 @@
         }
     }
 
-    void work(FakeEntry &entry)
+    void advanceEntry(FakeEntry &entry)
     {
-        const auto isOver = [this](Timestamp end) { return end <= this->now; };
-        std::erase_if(entry.inFlight, isOver);
-        std::erase_if(entry.orphaned, isOver);
+        const auto hasEnded = [this](Timestamp end) { return end <= this->now; };
+        std::erase_if(entry.inFlight, hasEnded);
+        std::erase_if(entry.orphaned, hasEnded);
         if (entry.frozen) {
             return;
         }
@@ -141,10 +142,10 @@
             entry.leaseEnd = entry.sentAt + lease;
             entry.reply.reset();
         }
-        while (this->now < entry.leaseEnd && entry.inFlight.size() < entry.cap && this->chance(4) > 0) {
-            entry.inFlight.push_back(this->now + stepTime * (1 + this->chance(static_cast<std::size_t>(longestRequest / stepTime))));
+        while (this->now < entry.leaseEnd && entry.inFlight.size() < entry.cap && this->randomBelow(4) > 0) {
+            entry.inFlight.push_back(this->now + stepTime * (1 + this->randomBelow(static_cast<std::size_t>(maxRequestTime / stepTime))));
         }
-        if (this->chance(4) == 0) {
+        if (this->randomBelow(4) == 0) {
             this->renew(entry);
         }
     }
@@ -159,7 +160,7 @@
         request.ageMillis = static_cast<std::uint64_t>(absl::ToInt64Milliseconds(age));
         request.sequence = ++entry.sequence;
         request.baseSequence = entry.answered;
-        request.demand = this->isQuiet ? 1 : static_cast<std::uint32_t>(this->chance(30));
+        request.demand = this->isIdle ? 1 : static_cast<std::uint32_t>(this->randomBelow(30));
         auto use = std::make_unique<wire::ShareUseT>();
         use->worker = "w";
         use->cap = entry.cap;
@@ -172,39 +173,39 @@
         entry.reply.reset();
         wire::SharesReplyT reply;
         try {
-            reply = this->dealer->allocate(this->now, request, {{"w", "127.0.0.1:1", slots, 64, 0, false}});
+            reply = this->allocator->allocate(this->now, request, {{"w", "127.0.0.1:1", slots, 64, 0, false}});
         } catch (const ConflictError &) {
             entry.answered = 0;
             return;
         }
-        if (this->chance(4) > 0) {
-            entry.reply = std::make_pair(this->now + stepTime * this->chance(4), std::move(reply));
+        if (this->randomBelow(4) > 0) {
+            entry.reply = std::make_pair(this->now + stepTime * this->randomBelow(4), std::move(reply));
         }
     }
 
-    void look()
+    void checkSlotsInUse()
     {
         std::size_t used = 0;
         for (const FakeEntry &entry : this->entries) {
             used += entry.inFlight.size() + entry.orphaned.size();
         }
         if (used > slots) {
-            this->broken = absl::StrCat(used, " requests at a worker of ", slots, " slots");
+            this->firstViolation = absl::StrCat(used, " requests in flight at a worker of ", slots, " slots");
         }
     }
 
     std::mt19937_64 random;
     const ShareGuards guards;
     Timestamp now = absl::UnixEpoch() + absl::Hours(1);
-    std::unique_ptr<ShareAllocator> dealer;
+    std::unique_ptr<ShareAllocator> allocator;
     std::vector<FakeEntry> entries;
-    bool isQuiet = false;
-    std::optional<std::string> broken;
+    bool isIdle = false;
+    std::optional<std::string> firstViolation;
 };
 
-bool isBroken(ShareGuards guards)
+bool violatesInSomeScenario(ShareGuards guards)
 {
-    for (std::uint64_t seed = 1; seed <= mutantScenarios; ++seed) {
+    for (std::uint64_t seed = 1; seed <= redScenarios; ++seed) {
         if (FakeEntries(seed, guards).run()) {
             return true;
         }
@@ -224,32 +225,32 @@
     }
 }
 
-TEST_CASE("shares_quietEntries_dealAllSlots")
+TEST_CASE("shares_idleEntries_allSlotsAreAllocated")
 {
-    REQUIRE(FakeEntries(1, {}).capsAfterQuiet() == slots);
+    REQUIRE(FakeEntries(1, {}).sumOfSharesAfterIdlePeriod() == slots);
 }
 
-TEST_CASE("shares_notCountingWhatIsHeld_isCaught", "[proof][red]")
+TEST_CASE("shares_heldSlotsNotCounted_isCaught", "[proof][red]")
 {
     ShareGuards guards;
     guards.countHeld = false;
-    REQUIRE(isBroken(guards));
+    REQUIRE(violatesInSomeScenario(guards));
 }
 
 TEST_CASE("shares_newLeaderNotWaitingForEntries_isCaught", "[proof][red]")
 {
     ShareGuards guards;
     guards.waitForEntries = false;
-    REQUIRE(isBroken(guards));
+    REQUIRE(violatesInSomeScenario(guards));
 }
 
-TEST_CASE("deal_unknownEntry_isRefused")
+TEST_CASE("allocate_unknownEntry_isRejected")
 {
-    ShareAllocator dealer({{"p", {"a"}}}, {lease, longestRequest, 10}, absl::UnixEpoch());
+    ShareAllocator allocator({{"p", {"a"}}}, {lease, maxRequestTime, 10}, absl::UnixEpoch());
     wire::SharesRequestT request;
     request.partner = "p";
     request.instance = "x";
     request.sequence = 1;
     request.isComplete = true;
-    REQUIRE_THROWS_AS(dealer.allocate(absl::UnixEpoch(), request, {}), ConflictError);
+    REQUIRE_THROWS_AS(allocator.allocate(absl::UnixEpoch(), request, {}), ConflictError);
 }
