--- a/paddlepier/ledger/job.cpp
+++ b/paddlepier/ledger/job.cpp
@@ -15,15 +15,15 @@
 using wire::TaskState;
 
 constexpr std::int64_t microsPerSecond = 1'000'000;
-constexpr std::uint32_t longestBackoffExponent = 6;
+constexpr std::uint32_t maxBackoffExponent = 6;
 
-/** A service that ran for this long, the time until its loss was noticed included, didn't take its worker down by starting. */
+/** A service that ran for this long before its loss was detected is settled: its start didn't crash the worker. */
 constexpr std::int64_t settledMicros = 60 * microsPerSecond;
 
-/** Wait before the next attempt after @p attempts failed ones: 1 s, doubling up to 64 s. */
+/** Backoff before the next attempt after @p attempts failed ones: 1 s, doubled with each attempt up to 64 s. */
 std::int64_t backoffMicros(std::uint32_t attempts)
 {
-    const std::uint32_t exponent = std::min(attempts > 0 ? attempts - 1 : 0, longestBackoffExponent);
+    const std::uint32_t exponent = std::min(attempts > 0 ? attempts - 1 : 0, maxBackoffExponent);
     return microsPerSecond << exponent;
 }
 
@@ -90,15 +90,15 @@
 
 TaskState Job::state() const
 {
-    static constexpr TaskState byWeight[] = {TaskState::Stopping,
-                                             TaskState::Running,
-                                             TaskState::Placed,
-                                             TaskState::Queued,
-                                             TaskState::Lost,
-                                             TaskState::Failed,
-                                             TaskState::Cancelled,
-                                             TaskState::Infeasible};
-    for (const TaskState candidate : byWeight) {
+    static constexpr TaskState byPrecedence[] = {TaskState::Stopping,
+                                                 TaskState::Running,
+                                                 TaskState::Placed,
+                                                 TaskState::Queued,
+                                                 TaskState::Lost,
+                                                 TaskState::Failed,
+                                                 TaskState::Cancelled,
+                                                 TaskState::Infeasible};
+    for (const TaskState candidate : byPrecedence) {
         if (this->count(candidate) > 0) {
             return candidate;
         }
@@ -127,13 +127,13 @@
 
 std::int64_t Job::nextPlaceableAt() const
 {
-    std::int64_t first = std::numeric_limits<std::int64_t>::max();
+    std::int64_t earliest = std::numeric_limits<std::int64_t>::max();
     for (const wire::TaskRecordT &task : this->taskList) {
         if (task.state == TaskState::Queued) {
-            first = std::min(first, task.notBeforeMicros);
+            earliest = std::min(earliest, task.notBeforeMicros);
         }
     }
-    return first;
+    return earliest;
 }
 
 bool Job::isQueued(std::uint32_t index) const
@@ -195,7 +195,7 @@
         this->setState(task, TaskState::Failed);
         return;
     }
-    // One loss says little: the task moves at once.
+    // A single loss is weak evidence against the task, which is therefore placed again without backoff.
     task.notBeforeMicros = task.losses > 1 ? atMicros + backoffMicros(task.losses - 1) : atMicros;
     this->setState(task, TaskState::Queued);
 }
@@ -205,7 +205,7 @@
     const bool isService = this->spec().kind == JobKind::Service;
     const bool hasRun = end == AttemptEnd::Succeeded || end == AttemptEnd::Failed;
     if (hasRun && this->data.firstStartAtMicros == 0) {
-        this->data.firstStartAtMicros = atMicros; // It ended before its start was reported.
+        this->data.firstStartAtMicros = atMicros; // The end was reported before the start.
     }
     if (end == AttemptEnd::Succeeded && !isService) {
         this->setState(task, TaskState::Succeeded);
@@ -216,12 +216,12 @@
     } else if (end == AttemptEnd::NeverStarted) {
         this->requeue(task, atMicros, false);
     } else if (this->spec().atMostOnce) {
-        // Whatever the state says: a worker that reports an end has run the task.
+        // Independent of the recorded state: a worker that reports the end of a task has run it.
         this->setState(task, TaskState::Failed);
     } else if (end == AttemptEnd::Unknown && task.state != TaskState::Stopping) {
         this->requeueAfterLoss(task, atMicros);
     } else {
-        // A stop that was asked for isn't the task's own fault.
+        // A requested stop doesn't count as a failed attempt of the task.
         this->requeue(task, atMicros, end == AttemptEnd::Failed || end == AttemptEnd::Succeeded);
     }
 }
--- a/paddlepier/ledger/job_test.cpp
+++ b/paddlepier/ledger/job_test.cpp
@@ -1,4 +1,4 @@
-// What becomes of a job's tasks when attempts end.
+// State of a job's tasks after attempts have ended.
 
 #include "paddlepier/ledger/job.h"
 
@@ -26,11 +26,11 @@
         return Job(std::move(record));
     }
 
-    /** Starts the task again and again on workers that are lost under it. @return how often, @p most at most */
-    std::uint32_t loseWorkers(Job &job, std::uint32_t most)
+    /** Starts the task repeatedly, each time on a worker that is then lost. @return the number of starts, at most @p maxStarts */
+    std::uint32_t loseWorkers(Job &job, std::uint32_t maxStarts)
     {
         std::uint32_t starts = 0;
-        for (; starts < most && !job.hasEnded(); ++starts) {
+        for (; starts < maxStarts && !job.hasEnded(); ++starts) {
             this->now = std::max(this->now, job.nextPlaceableAt());
             job.place(0, "w", starts + 1);
             job.started(0, starts + 1, this->now);
@@ -45,30 +45,30 @@
 
 } // namespace
 
-// A task whose every worker is lost under it was queued again at once and without end, since only attempts that were reported as
-// failed counted.
-TEST_CASE_METHOD(LedgerJobFixture, "batchTaskWhoseWorkersAreLost_isGivenUpWithinItsBound")
+// Guards against endless restarts of a task that crashes each of its workers: if only attempts reported as failed count, such a
+// task is queued again at once, without a bound.
+TEST_CASE_METHOD(LedgerJobFixture, "batchTask_allWorkersLost_isAbandonedWithinBound")
 {
     Job job = make(wire::JobKind::Batch);
     CHECK(this->loseWorkers(job, 20) <= 5);
     CHECK(job.state() == wire::TaskState::Failed);
 }
 
-TEST_CASE_METHOD(LedgerJobFixture, "gangWhoseWorkersAreLost_isGivenUpWithinItsBound")
+TEST_CASE_METHOD(LedgerJobFixture, "gang_allWorkersLost_isAbandonedWithinBound")
 {
     Job job = make(wire::JobKind::Gang);
     CHECK(this->loseWorkers(job, 20) <= 5);
     CHECK(job.state() == wire::TaskState::Failed);
 }
 
-TEST_CASE_METHOD(LedgerJobFixture, "serviceWhoseWorkersAreLost_isStartedEverMoreSeldom")
+TEST_CASE_METHOD(LedgerJobFixture, "service_allWorkersLost_isRestartedWithBackoff")
 {
     Job job = make(wire::JobKind::Service);
     CHECK(this->loseWorkers(job, 10) == 10);
     CHECK(this->now > 60 * microsPerSecond);
 }
 
-TEST_CASE_METHOD(LedgerJobFixture, "serviceThatRanForLong_afterALoss_isStartedAtOnce")
+TEST_CASE_METHOD(LedgerJobFixture, "settledService_workerLost_isRestartedAtOnce")
 {
     Job job = make(wire::JobKind::Service);
     this->loseWorkers(job, 6);
@@ -80,7 +80,7 @@
     CHECK(job.nextPlaceableAt() <= this->now);
 }
 
-TEST_CASE_METHOD(LedgerJobFixture, "attemptThatWasToStop_gone_isNoLoss")
+TEST_CASE_METHOD(LedgerJobFixture, "stoppingTask_attemptGone_isNotCountedAsLoss")
 {
     Job job = make(wire::JobKind::Batch);
     job.place(0, "w", 1);
--- a/paddlepier/ledger/leasetable.cpp
+++ b/paddlepier/ledger/leasetable.cpp
@@ -1,4 +1,4 @@
-// Leases of all workers.
+// Task leases of all workers.
 
 #include "paddlepier/ledger/leasetable.h"
 
@@ -17,14 +17,14 @@
 
 using wire::TaskState;
 
-/** Added to a lease on the leader's clock, for the granularity of timers. */
+/** Added to a lease on the leader's clock to cover the granularity of timers. */
 constexpr Duration timerMargin = absl::Milliseconds(50);
 
-/** A worker whose announcement may be held back needs no pause but for a burst of events. */
+/** Pause after a reply that the leader could hold back; it only limits announcements during a burst of events. */
 constexpr Duration pauseAfterHeldReply = absl::Milliseconds(20);
 
-/** A worker without tasks is forgotten after this many lease times of silence. */
-constexpr int forgetAfterLeases = 6;
+/** A worker without tasks is removed this many lease times after its lease has expired. */
+constexpr int removeAfterLeases = 6;
 
 using LeaseKey = std::pair<std::uint64_t, std::uint32_t>;
 using EpochByTask = std::map<LeaseKey, std::uint64_t>;
@@ -70,9 +70,9 @@
 template<typename Command>
 wire::CommandUnion toCommand(Command command)
 {
-    wire::CommandUnion united;
-    united.Set(std::move(command));
-    return united;
+    wire::CommandUnion commandUnion;
+    commandUnion.Set(std::move(command));
+    return commandUnion;
 }
 
 } // namespace
@@ -86,12 +86,12 @@
 {
 }
 
-Duration LeaseTable::leaseHere() const
+Duration LeaseTable::leaderLease() const
 {
     if (!this->guards.driftMargin) {
         return this->timing.taskLease;
     }
-    // The worker's clock may be slow and this one fast, hence twice the drift.
+    // The worker's clock may be slow while this one is fast, hence twice the drift.
     return this->timing.taskLease * (1.0 + 2.0 * this->timing.driftPerMille / 1000.0) + timerMargin;
 }
 
@@ -106,8 +106,8 @@
     reply.sequence = request.sequence;
     reply.term = this->ownTerm;
     reply.leaseMillis = static_cast<std::uint32_t>(absl::ToInt64Milliseconds(this->timing.taskLease));
-    const Duration next = request.waitMillis > 0 ? pauseAfterHeldReply : this->timing.announceInterval;
-    reply.nextAnnounceMillis = static_cast<std::uint32_t>(absl::ToInt64Milliseconds(next));
+    const Duration pause = request.waitMillis > 0 ? pauseAfterHeldReply : this->timing.announceInterval;
+    reply.nextAnnounceMillis = static_cast<std::uint32_t>(absl::ToInt64Milliseconds(pause));
     return reply;
 }
 
@@ -132,8 +132,8 @@
     contact.sequence = request.sequence;
     contact.lastAnnouncedAt = now;
     contact.clockMicros = request.clockMicros;
-    contact.leaseEnd = now + this->leaseHere();
-    contact.expiryProposed = false;
+    contact.leaseEnd = now + this->leaderLease();
+    contact.removalProposed = false;
 
     AnnouncementResult result;
     result.reply = this->emptyReply(request);
@@ -172,7 +172,7 @@
 
 bool LeaseTable::wasNeverOffered(const wire::TaskRecordT &task, const Contact &contact) const
 {
-    // An earlier leader may have offered what was placed before this one was elected.
+    // Attempts placed before this leader was elected may have been offered by an earlier leader.
     return task.state == TaskState::Placed && task.epoch >= this->firstOwnEpoch && !contact.offered.contains(task.epoch);
 }
 
@@ -182,14 +182,14 @@
     if (task.state != TaskState::Placed || worker.isDraining()) {
         return false;
     }
-    // Offered before: only a worker that says which reply it took last can rule out that the attempt began. One that has been
-    // restarted since may have been taken down by it, and would be again.
+    // After an earlier offer, only the number of the last reply that the worker processed can prove that the attempt never started.
+    // A worker that was restarted since sends none: the attempt may have crashed it, and another offer would crash it again.
     const auto offered = contact.offered.find(task.epoch);
     if (offered != contact.offered.end()) {
         return request.replySequence > 0 && request.replySequence < offered->second;
     }
     const bool isNew = this->wasNeverOffered(task, contact);
-    // The worker's room has shrunk below what was placed there: what it hasn't heard of goes elsewhere.
+    // The worker's capacity has shrunk below its reservations: attempts that were not offered yet are placed elsewhere.
     if (isNew && !fits(worker.reserved(), request.capacity)) {
         return false;
     }
@@ -200,7 +200,7 @@
 {
     const EpochByTask running = epochsOf(request.running);
     const EpochByTask finished = epochsOf(request.finished);
-    const bool mayConclude = request.term == this->ownTerm || !this->guards.fenceOldReplies;
+    const bool canInferEnd = request.term == this->ownTerm || !this->guards.fenceOldReplies;
     const Worker &worker = *ledger.findWorker(request.worker);
     for (const TaskId &task : worker.tasks()) {
         const Job &job = *ledger.findJob(task.job);
@@ -213,7 +213,7 @@
             continue;
         }
         const bool isReported = contains(finished, task, record.epoch);
-        if (mayConclude && !isReported && !this->mayOffer(worker, job, record, request, contact)) {
+        if (canInferEnd && !isReported && !this->mayOffer(worker, job, record, request, contact)) {
             auto &list = this->wasNeverOffered(record, contact) ? report.unstarted : report.gone;
             list.push_back(lease);
         }
@@ -278,14 +278,14 @@
         const auto [found, isNew] = this->contacts.try_emplace(name);
         Contact &contact = found->second;
         if (isNew) {
-            contact.leaseEnd = this->guards.renewAtElection ? this->since + this->leaseHere() : this->since;
+            contact.leaseEnd = this->guards.renewAtElection ? this->since + this->leaderLease() : this->since;
         }
         if (now < contact.leaseEnd) {
             continue;
         }
         if (worker.tasks().empty()) {
-            if (now >= contact.leaseEnd + forgetAfterLeases * this->timing.taskLease && !contact.expiryProposed) {
-                contact.expiryProposed = true;
+            if (now >= contact.leaseEnd + removeAfterLeases * this->timing.taskLease && !contact.removalProposed) {
+                contact.removalProposed = true;
                 wire::RemoveWorkerT command;
                 command.worker = name;
                 commands.push_back(toCommand(std::move(command)));
@@ -302,7 +302,7 @@
                 contact.withdrawn.insert(record.epoch);
             }
         }
-        contact.leaseEnd = now + this->timing.announceInterval; // Proposed again then, if it wasn't applied.
+        contact.leaseEnd = now + this->timing.announceInterval; // Proposed again at that time unless it was applied.
         commands.push_back(toCommand(std::move(command)));
     }
     return commands;
@@ -325,9 +325,9 @@
     if (found == this->contacts.end() || found->second.sequence == 0) {
         return std::nullopt;
     }
-    // A slow worker clock may have gone forward less than this one.
-    const Duration passed = (now - found->second.lastAnnouncedAt) * (1.0 - 2.0 * this->timing.driftPerMille / 1000.0);
-    return found->second.clockMicros + absl::ToInt64Microseconds(passed);
+    // A slow worker clock may have advanced less than this clock.
+    const Duration elapsed = (now - found->second.lastAnnouncedAt) * (1.0 - 2.0 * this->timing.driftPerMille / 1000.0);
+    return found->second.clockMicros + absl::ToInt64Microseconds(elapsed);
 }
 
 } // namespace paddlepier::ledger
--- a/paddlepier/ledger/leasetable_benchmark.cpp
+++ b/paddlepier/ledger/leasetable_benchmark.cpp
@@ -1,4 +1,4 @@
-// Announcements: what one costs its leader, by the number of tasks that the worker runs.
+// Cost of an announcement on the leader, by the number of tasks that the worker runs.
 
 #include "paddlepier/ledger/leasetable.h"
 #include "paddlepier/wire/codec.h"
@@ -20,7 +20,7 @@
     return ledger.apply(entry).job;
 }
 
-/** One worker that runs @p tasks tasks, and its announcement of them. */
+/** Adds one worker that runs @p tasks tasks to @p ledger. @return its announcement */
 wire::AnnounceRequestT fill(Ledger &ledger, std::uint32_t tasks)
 {
     wire::RegisterWorkerT registration;
--- a/paddlepier/ledger/leasetable_test.cpp
+++ b/paddlepier/ledger/leasetable_test.cpp
@@ -1,4 +1,4 @@
-// Leases: directed cases that the fuzzing of scheduling/cell_test.cpp meets rarely.
+// LeaseTable: directed cases that rarely occur in the fuzz test scheduling/cell_test.cpp.
 
 #include "paddlepier/ledger/leasetable.h"
 
@@ -32,7 +32,7 @@
         return this->ledger.apply(entry);
     }
 
-    /** A job of one task, placed on w1. */
+    /** Submits a job of one task and places it on w1. */
     std::uint64_t placeJob(bool atMostOnce)
     {
         wire::SubmitJobT submit;
@@ -61,7 +61,7 @@
         return request;
     }
 
-    /** Commands that expire() gives at @p after the worker's last announcement. */
+    /** Number of commands that expire() returns @p after the worker's last announcement. */
     std::size_t expiredAfter(Duration after, LeaseGuards guards)
     {
         LeaseTable table(this->timing, 1, 1, this->start, guards);
@@ -76,7 +76,7 @@
     int submissions = 0;
 };
 
-// A worker's clock at the lower drift bound shows 10 s only after this long.
+// The time in which a worker's clock at the lower drift bound advances by 10 s.
 constexpr Duration slowClockLease = absl::Milliseconds(10100);
 
 } // namespace
@@ -87,14 +87,14 @@
     REQUIRE(this->expiredAfter(slowClockLease + absl::Milliseconds(200), {}) == 1);
 }
 
-TEST_CASE_METHOD(LeaseTableFixture, "expire_withoutDriftMargin_endsLeaseThatWorkerHolds", "[proof][red]")
+TEST_CASE_METHOD(LeaseTableFixture, "expire_withoutDriftMargin_endsLeaseThatWorkerStillHolds", "[proof][red]")
 {
     LeaseGuards guards;
     guards.driftMargin = false;
     REQUIRE(this->expiredAfter(slowClockLease, guards) == 1);
 }
 
-TEST_CASE_METHOD(LeaseTableFixture, "announce_olderSequence_isRefused")
+TEST_CASE_METHOD(LeaseTableFixture, "announce_olderSequence_isRejected")
 {
     LeaseTable table(this->timing, 1, 1, this->start);
     table.announce(this->start, this->announcement(5), this->ledger);
@@ -102,7 +102,7 @@
     REQUIRE_THROWS_AS(table.announce(this->start, this->announcement(4), this->ledger), StaleAnnouncementError);
 }
 
-TEST_CASE_METHOD(LeaseTableFixture, "announce_offeredOnceOnlyTaskMissingAfterRestart_isNotOfferedAgain")
+TEST_CASE_METHOD(LeaseTableFixture, "announce_atMostOnceTaskMissingAfterRestart_isNotOfferedAgain")
 {
     LeaseTable table(this->timing, 1, this->ledger.upcomingEpoch(), this->start);
     const std::uint64_t job = this->placeJob(true);
@@ -113,7 +113,7 @@
     REQUIRE(this->ledger.findJob(job)->state() == wire::TaskState::Lost);
 }
 
-TEST_CASE_METHOD(LeaseTableFixture, "announce_onceOnlyTaskWhoseOfferWasNotTaken_isOfferedAgain")
+TEST_CASE_METHOD(LeaseTableFixture, "announce_atMostOnceTaskWithUnprocessedOffer_isOfferedAgain")
 {
     LeaseTable table(this->timing, 1, this->ledger.upcomingEpoch(), this->start);
     this->placeJob(true);
@@ -123,9 +123,10 @@
     REQUIRE(table.announce(this->start, next, this->ledger).reply.started.size() == 1);
 }
 
-TEST_CASE_METHOD(LeaseTableFixture, "announce_offeredTaskMissingAfterARestart_isNotOfferedAgain")
+TEST_CASE_METHOD(LeaseTableFixture, "announce_offeredTaskMissingAfterRestart_isNotOfferedAgain")
 {
-    // A task that takes its worker down before its start is reported was offered to the next life again, without end.
+    // Guards against an endless crash loop: a task that crashes its worker before its start is reported must not be offered to
+    // the worker's next incarnation.
     LeaseTable table(this->timing, 1, this->ledger.upcomingEpoch(), this->start);
     const std::uint64_t job = this->placeJob(false);
     REQUIRE(table.announce(this->start, this->announcement(1), this->ledger).reply.started.size() == 1);
@@ -136,7 +137,7 @@
     REQUIRE(this->ledger.findJob(job)->state() == wire::TaskState::Queued);
 }
 
-TEST_CASE_METHOD(LeaseTableFixture, "announce_ofARoomThatHasShrunk_offersNothingNew")
+TEST_CASE_METHOD(LeaseTableFixture, "announce_capacityHasShrunk_offersNothingNew")
 {
     LeaseTable table(this->timing, 1, this->ledger.upcomingEpoch(), this->start);
     const std::uint64_t job = this->placeJob(false);
@@ -150,9 +151,10 @@
     REQUIRE(this->ledger.findJob(job)->tasks()[0].losses == 0);
 }
 
-TEST_CASE_METHOD(LeaseTableFixture, "announce_finishReportedBeforeStart_endsOnceOnlyTask")
+TEST_CASE_METHOD(LeaseTableFixture, "announce_finishReportedBeforeStart_endsAtMostOnceTask")
 {
-    // Found by fuzzing: the task was queued again, since its start had not been recorded yet.
+    // Guards against a second run of an at-most-once task: one whose start is not recorded yet must not be queued again when its
+    // end is reported.
     LeaseTable table(this->timing, 1, this->ledger.upcomingEpoch(), this->start);
     const std::uint64_t job = this->placeJob(true);
     table.announce(this->start, this->announcement(1), this->ledger);
--- a/paddlepier/ledger/ledger.cpp
+++ b/paddlepier/ledger/ledger.cpp
@@ -17,7 +17,7 @@
 
 using wire::TaskState;
 
-Applied refuse(ErrorCode error, std::string message)
+Applied reject(ErrorCode error, std::string message)
 {
     Applied applied;
     applied.error = error;
@@ -77,7 +77,7 @@
         Applied applied;
         const OpenOutcome outcome = this->requests.open(*command.AsOpenRequest());
         if (outcome == OpenOutcome::TableFull) {
-            return refuse(ErrorCode::Overloaded, "too many recorded requests");
+            return reject(ErrorCode::Overloaded, "the table of recorded requests is full");
         }
         applied.alreadyKnown = outcome != OpenOutcome::Accepted;
         applied.begin = outcome == OpenOutcome::KeyReused ? wire::BeginResult::KeyReused
@@ -87,14 +87,14 @@
     }
     case wire::Command::CloseRequest: {
         const bool closed = this->requests.close(*command.AsCloseRequest());
-        return closed ? Applied() : refuse(ErrorCode::Conflict, "the key is held by another attempt");
+        return closed ? Applied() : reject(ErrorCode::Conflict, "the key is held by another attempt");
     }
     case wire::Command::ChangeConfiguration:
         return this->changeConfiguration(*command.AsChangeConfiguration());
     case wire::Command::NONE:
         break;
     }
-    return refuse(ErrorCode::MalformedBody, "unknown command");
+    return reject(ErrorCode::MalformedBody, "unknown command");
 }
 
 template<typename Change>
@@ -143,10 +143,10 @@
 {
     const auto found = this->workerByName.find(command.worker);
     if (found == this->workerByName.end()) {
-        return refuse(ErrorCode::UnknownWorker, command.worker);
+        return reject(ErrorCode::UnknownWorker, command.worker);
     }
     if (!found->second.tasks().empty()) {
-        return refuse(ErrorCode::Conflict, absl::StrCat(command.worker, " still holds tasks"));
+        return reject(ErrorCode::Conflict, absl::StrCat(command.worker, " still holds tasks"));
     }
     this->workerByName.erase(found);
     this->markWorkerChanged(command.worker);
@@ -157,7 +157,7 @@
 {
     const auto found = this->workerByName.find(command.worker);
     if (found == this->workerByName.end()) {
-        return refuse(ErrorCode::UnknownWorker, absl::StrCat("no worker ", command.worker));
+        return reject(ErrorCode::UnknownWorker, absl::StrCat("no worker ", command.worker));
     }
     found->second.setDrainedByOperator(command.draining);
     this->markWorkerChanged(command.worker);
@@ -190,7 +190,7 @@
         return applied;
     }
     if (command.spec->tasks == 0 || command.spec->tasks > maxTasksPerJob) {
-        return refuse(ErrorCode::InvalidArgument, absl::StrCat("tasks must be from 1 to ", maxTasksPerJob));
+        return reject(ErrorCode::InvalidArgument, absl::StrCat("tasks must be from 1 to ", maxTasksPerJob));
     }
     wire::JobRecordT record;
     record.id = this->nextJob++;
@@ -211,7 +211,7 @@
 {
     const auto found = this->jobById.find(command.job);
     if (found == this->jobById.end()) {
-        return refuse(ErrorCode::UnknownJob, absl::StrCat("no job ", command.job));
+        return reject(ErrorCode::UnknownJob, absl::StrCat("no job ", command.job));
     }
     Applied applied;
     applied.job = command.job;
@@ -236,7 +236,7 @@
         return applied;
     }
     if (command.expectedVersion != current.version) {
-        return refuse(
+        return reject(
             ErrorCode::Conflict,
             absl::StrCat(
                 "the change was made against version ", command.expectedVersion, ", but version ", current.version, " (", current.revision, ") is accepted"));
--- a/paddlepier/ledger/ledger.h
+++ b/paddlepier/ledger/ledger.h
@@ -1,12 +1,13 @@
-// The ledger of one data centre: sole authority over its workers, jobs, leases and not-to-be-repeated requests.
+// The ledger of one data centre: the only authority over its workers, jobs, leases and requests that must not be repeated.
 //
-// A deterministic state machine. Commands come out of the replicated log in one order; applying the same commands gives
-// the same state in every replica. Nothing here reads a clock: each entry carries the time that its leader stamped.
+// A deterministic state machine. Its commands come from the replicated log in a single order, and applying the same
+// commands yields the same state in every replica. Nothing here reads a clock: each entry carries a timestamp that its
+// leader assigned.
 //
-// Rules that hold whatever commands arrive, and in whatever order:
-//  - a worker's reservations never exceed its capacity (Worker::reserve);
-//  - a task has at most one active placement; its epoch grows with each one (Job);
-//  - the placements of one group are taken all or not at all;
+// Invariants that hold for any sequence of commands:
+//  - the reservations of a worker never exceed its capacity (Worker::reserve);
+//  - a task has at most one active placement, and its epoch grows with each placement (Job);
+//  - either all placements of a group are applied or none;
 //  - a request key is opened at most once (RequestTable).
 //
 // Example:
@@ -39,7 +40,7 @@
 namespace paddlepier::ledger
 {
 
-/** Outcome of one command. */
+/** Result of one command. */
 struct Applied {
     ErrorCode error = ErrorCode::None;
     std::string message;
@@ -51,17 +52,17 @@
     wire::BeginResult begin = wire::BeginResult::Accepted;
 };
 
-/** Sums over the whole ledger, kept up to date: reading them is O(1). */
+/** Sums over the whole ledger, updated with each change, so that reading them is O(1). */
 struct Totals {
     std::uint64_t queuedTasks = 0;
     std::uint64_t activeTasks = 0;
     std::uint64_t lostJobs = 0;
 };
 
-/** Ended jobs are kept this long for `status` and `explain`, in microseconds. */
+/** How long ended jobs are retained for `status` and `explain`, in microseconds. */
 constexpr std::int64_t jobRetentionMicros = 24LL * 3600 * 1'000'000;
 
-/** Most tasks that one job may have. */
+/** Maximum number of tasks of one job. */
 constexpr std::uint32_t maxTasksPerJob = 10'000;
 
 class Ledger
@@ -81,20 +82,20 @@
 
     const std::map<std::string, Worker, std::less<>> &workers() const;
     const std::map<std::uint64_t, Job> &jobs() const;
-    /** Jobs that have a queued task. */
+    /** Jobs with at least one queued task. */
     const std::set<std::uint64_t> &queuedJobs() const;
     const Resources &reservedBy(const std::string &partner) const;
     Totals totals() const;
     /** Epoch of the next placement. */
     std::uint64_t upcomingEpoch() const;
-    /** The newest accepted configuration; version 0 before the first. */
+    /** The newest accepted configuration; version 0 before the first one. */
     const wire::ConfigurationT &configuration() const;
     /** Time of the newest applied entry, microseconds since 1970. */
     std::int64_t lastAppliedMicros() const;
 
-    /** Names of workers that changed since the last call, for derived indexes. */
+    /** Empties and returns the names of the workers that changed since the last call, for derived indexes. */
     std::vector<std::string> drainChangedWorkers();
-    /** Jobs whose queued tasks changed since the last call. */
+    /** Empties and returns the jobs whose tasks changed since the last call. */
     std::vector<std::uint64_t> drainChangedJobs();
 
 private:
@@ -113,11 +114,12 @@
     void endAttempt(const wire::TaskLease &lease, const std::string &worker, AttemptEnd end);
     void endAttempts(const std::vector<wire::TaskLease> &leases, const std::string &worker, AttemptEnd end);
     void release(const Job &job, const Released &released);
-    /** Services leave a draining worker at once; other kinds end there. */
+    /** Moves the services off @p worker if it is draining; tasks of other kinds stay until they end. */
     void moveServices(const Worker &worker);
     template<typename Change>
     void changeJob(Job &job, Change change);
     void markWorkerChanged(const std::string &name);
+    /** Removes the state of ended jobs whose retention has ended. */
     void removeEndedJobs();
 
     std::map<std::string, Worker, std::less<>> workerByName;
@@ -129,8 +131,9 @@
     std::uint64_t nextEpoch = 1;
     std::int64_t appliedMicros = 0;
 
-    // Derived, rebuilt by restore():
+    // Derived from the above; rebuilt by restore():
     std::set<std::uint64_t> queued;
+    // In the order in which the jobs ended.
     std::deque<std::uint64_t> endedJobs;
     absl::flat_hash_map<std::string, Resources> reservedByPartner;
     Totals sums;
@@ -138,7 +141,7 @@
     absl::flat_hash_set<std::uint64_t> changedJobs;
 };
 
-/** Key under which a submission is remembered. */
+/** Key under which a submission is recorded. */
 std::string submissionKey(std::string_view partner, std::string_view submissionId);
 
 } // namespace paddlepier::ledger
--- a/paddlepier/ledger/requesttable.cpp
+++ b/paddlepier/ledger/requesttable.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Partners' names have no slash, so that two different pairs never give the same text. */
+/** Names of partners contain no slash, so that two different pairs never have the same key. */
 std::string recordKey(std::string_view partner, std::string_view key)
 {
     return absl::StrCat(std::string(partner), "/", std::string(key));
@@ -23,7 +23,7 @@
     const std::string name = recordKey(request.partner, request.key);
     const auto found = this->records.find(name);
     if (found != this->records.end()) {
-        // The same attempt asks again after a lost reply; it has sent nothing before it was accepted.
+        // The same attempt repeats its request after a lost reply. It sends nothing before the key is accepted.
         if (found->second.requestId == request.requestId && !found->second.answer) {
             return OpenOutcome::Accepted;
         }
--- a/paddlepier/ledger/requesttable.h
+++ b/paddlepier/ledger/requesttable.h
@@ -1,13 +1,13 @@
 // Records of requests that must not be repeated.
 //
-// A key is opened once; whoever opened it is the only one that may send the request to a backend server. A later
-// request under the same key gets the recorded answer, or is told that the first is in progress or that its end is
-// unknown. Only an answer `NotRun` frees the key, since then nothing was sent.
+// A key is opened once. Only the attempt that opened it may send the request to a backend server. A later request with
+// the same key gets the recorded answer, or learns that the first one is in progress or that its outcome is unknown. Only
+// the answer `NotRun` frees the key, because nothing was sent then.
 //
-// Retention: a record is kept for requestRetentionMicros after its deadline, at most mostRequests records are kept, and a
-// full table refuses new keys instead of forgetting old ones.
+// Retention: a record is retained for requestRetentionMicros after its deadline. At most maxRequests records are
+// retained; a full table rejects new keys instead of evicting old ones.
 //
-// Thread safety: none; owned by the ledger. open() and close() are O(1), forget() O(log n) a record.
+// Thread safety: none; owned by the ledger. open() and close() are O(1), removeExpired() is O(log n) per removed record.
 
 #ifndef PADDLEPIER_LEDGER_REQUESTTABLE_H
 #define PADDLEPIER_LEDGER_REQUESTTABLE_H
@@ -37,10 +37,10 @@
 public:
     OpenOutcome open(const wire::OpenRequestT &request);
 
-    /** Records the answer of the attempt @p requestId. @return false if that attempt doesn't hold the key */
+    /** Records the answer of the attempt `requestId`. @return false if that attempt doesn't hold the key */
     bool close(const wire::CloseRequestT &request);
 
-    /** Drops records whose retention is over at @p atMicros. */
+    /** Removes the records whose retention has ended at @p atMicros. */
     void removeExpired(std::int64_t atMicros);
 
     const wire::RequestRecordT *find(std::string_view partner, std::string_view key) const;
@@ -51,7 +51,7 @@
 
 private:
     absl::flat_hash_map<std::string, wire::RequestRecordT> records;
-    // Invariant: one element for each record, ordered by deadline.
+    // Invariant: holds exactly one element for each record, ordered by deadline.
     std::set<std::pair<std::int64_t, std::string>> byDeadline;
 };
 
--- a/paddlepier/ledger/worker.h
+++ b/paddlepier/ledger/worker.h
@@ -1,7 +1,7 @@
-// Aggregate: one backend server as the ledger knows it.
+// Aggregate: one backend server as recorded in the ledger.
 //
-// A Worker guards its own capacity: reserve() refuses what doesn't fit, whoever asks, so that no order of commands can
-// give away more processors, memory or accelerators than the worker has.
+// A Worker guards its own capacity: reserve() rejects whatever doesn't fit, so that no order of commands can reserve
+// more processors, memory or accelerators than the worker has.
 //
 // Thread safety: none; owned by the ledger.
 
@@ -19,7 +19,7 @@
 namespace paddlepier::ledger
 {
 
-/** Identity of a task: its job's number and its place in the job. */
+/** Identity of a task: the number of its job and its index in the job. */
 struct TaskId {
     std::uint64_t job = 0;
     std::uint32_t index = 0;
@@ -36,20 +36,20 @@
     const wire::RegisterWorkerT &registration() const;
     const wire::WorkerRecordT &record() const;
 
-    /** Takes over changed facts; reservations stay. */
+    /** Replaces the registration; reservations are unchanged. */
     void update(const wire::RegisterWorkerT &registration);
     void setDrainedByOperator(bool drained);
 
-    /** No new work: the worker or an operator said so. */
+    /** True if the worker gets no new work, at its own request or an operator's. */
     bool isDraining() const;
 
-    /** What is neither reserved nor beyond the capacity announced last. */
+    /** Free capacity: the capacity announced last minus all reservations. */
     Resources available() const;
     const Resources &reserved() const;
     /** Tasks that hold a reservation here. */
     const std::set<TaskId> &tasks() const;
 
-    /** @return false, without any change, if @p need doesn't fit, the task is here already or the worker is draining */
+    /** @return false, without any change, if @p need doesn't fit, the task already holds a reservation here or the worker is draining */
     bool reserve(const TaskId &task, const Resources &need);
     /** Restores a reservation from a snapshot. */
     void restore(const TaskId &task, const Resources &need);
@@ -57,12 +57,12 @@
 
 private:
     wire::WorkerRecordT data;
-    // Invariant: the sum of what the tasks in `held` need.
+    // Invariant: the sum of the reservations of the tasks in `held`.
     Resources reservedSum;
     std::set<TaskId> held;
 };
 
-/** True if the two differ in a fact that placement or routing uses. */
+/** True if the two differ in a field that placement or routing uses. */
 bool differs(const wire::RegisterWorkerT &left, const wire::RegisterWorkerT &right);
 
 } // namespace paddlepier::ledger
