--- a/paddlepier/scheduling/cell_test.cpp
+++ b/paddlepier/scheduling/cell_test.cpp
@@ -1,8 +1,8 @@
-// Stateful fuzzing of placement and leases: the real ledger, lease table and scheduler against fake workers, in virtual
-// time, with an oracle that looks at what the workers run.
+// Stateful fuzz test of placement and leases: the real ledger, lease table and scheduler with fake workers in virtual
+// time. An oracle checks which tasks the workers run.
 //
-// Faults: late and lost announcements and replies, workers that freeze, restart, die or drain, clocks that run at
-// different rates, changes of leadership that lose proposals, cancels.
+// Faults: delayed and lost announcements and replies; workers that freeze, restart, crash or drain; clocks that run at
+// different rates; leader changes that lose proposals; cancelled jobs.
 
 #include "paddlepier/ledger/leasetable.h"
 #include "paddlepier/scheduling/scheduler.h"
@@ -21,7 +21,7 @@
 {
 
 constexpr Duration stepTime = absl::Milliseconds(20);
-constexpr std::uint64_t mutantScenarios = 2000;
+constexpr std::uint64_t redScenarios = 2000;
 constexpr std::size_t workerCount = 5;
 constexpr std::size_t faultsPerScenario = 120;
 
@@ -80,7 +80,7 @@
         for (std::size_t index = 0; index < workerCount; ++index) {
             FakeWorker worker;
             worker.name = absl::StrCat("w", index);
-            worker.clockRate = 1.0 + (static_cast<double>(this->chance(19)) - 9) / 100;
+            worker.clockRate = 1.0 + (static_cast<double>(this->randomBelow(19)) - 9) / 100;
             worker.nextAnnounce = this->now;
             this->workers.push_back(std::move(worker));
         }
@@ -89,23 +89,23 @@
 
     std::optional<std::string> run()
     {
-        for (std::size_t fault = 0; fault < faultsPerScenario && !this->broken; ++fault) {
-            this->inject();
-            this->advance(absl::Milliseconds(20 * this->chance(25)));
+        for (std::size_t fault = 0; fault < faultsPerScenario && !this->firstViolation; ++fault) {
+            this->injectFault();
+            this->advance(absl::Milliseconds(20 * this->randomBelow(25)));
         }
-        this->settle();
-        return this->broken;
+        this->recoverAndVerify();
+        return this->firstViolation;
     }
 
 private:
-    std::size_t chance(std::size_t bound)
+    std::size_t randomBelow(std::size_t bound)
     {
         return std::uniform_int_distribution<std::size_t>(0, bound - 1)(this->random);
     }
 
     void fail(const std::string &what)
     {
-        this->broken = this->broken ? this->broken : what;
+        this->firstViolation = this->firstViolation ? this->firstViolation : what;
     }
 
     std::int64_t clockOf(const FakeWorker &worker) const
@@ -116,17 +116,17 @@
     void elect()
     {
         ++this->term;
-        // What an earlier leader proposed is applied whole, in part or not at all.
-        const std::size_t kept = this->proposals.empty() ? 0 : this->chance(this->proposals.size() + 1);
+        // A random prefix of the earlier leader's proposals is applied; the rest is lost.
+        const std::size_t kept = this->proposals.empty() ? 0 : this->randomBelow(this->proposals.size() + 1);
         for (std::size_t index = 0; index < kept; ++index) {
             this->apply(this->proposals[index].command);
         }
         this->proposals.clear();
-        this->placementUnderWay = false;
-        this->held.clear();
+        this->isPlacementInFlight = false;
+        this->heldAnnouncements.clear();
         this->leases = std::make_unique<ledger::LeaseTable>(this->timing, this->term, this->state.upcomingEpoch(), this->now, this->guards);
         this->scheduler.rebuild(this->state);
-        if (this->chance(3) == 0) {
+        if (this->randomBelow(3) == 0) {
             ledger::Ledger restored;
             restored.restore(this->state.snapshot());
             this->state = std::move(restored);
@@ -142,7 +142,7 @@
         this->state.apply(entry);
         for (const auto &[name, worker] : this->state.workers()) {
             if (!ledger::fits(worker.reserved(), worker.registration().capacity)) {
-                this->fail(absl::StrCat(name, " is reserved over its capacity"));
+                this->fail(absl::StrCat(name, " has reservations above its capacity"));
             }
         }
     }
@@ -163,25 +163,25 @@
     void submit()
     {
         wire::SubmitJobT command;
-        command.partner = this->chance(2) == 0 ? "one" : "two";
+        command.partner = this->randomBelow(2) == 0 ? "one" : "two";
         command.submissionId = absl::StrCat(this->nextSubmission++);
         command.spec = std::make_unique<wire::JobSpecT>();
         command.spec->name = "job";
-        // Few services, since they stay: a full cell places nothing again.
-        const bool isService = this->chance(10) == 0;
-        command.spec->kind = isService ? wire::JobKind::Service : this->chance(4) == 0 ? wire::JobKind::Gang : wire::JobKind::Batch;
-        command.spec->tasks = static_cast<std::uint32_t>(1 + this->chance(3));
-        command.spec->resources = wire::Resources(500 * (1 + this->chance(6)), 100 * (1 + this->chance(8)), this->chance(3) == 0 ? 1 : 0);
+        // Few services, because they never end: once they fill the cell, nothing more is placed.
+        const bool isService = this->randomBelow(10) == 0;
+        command.spec->kind = isService ? wire::JobKind::Service : this->randomBelow(4) == 0 ? wire::JobKind::Gang : wire::JobKind::Batch;
+        command.spec->tasks = static_cast<std::uint32_t>(1 + this->randomBelow(3));
+        command.spec->resources = wire::Resources(500 * (1 + this->randomBelow(6)), 100 * (1 + this->randomBelow(8)), this->randomBelow(3) == 0 ? 1 : 0);
         command.spec->maxAttempts = 50;
-        command.spec->runSeconds = this->chance(4);
-        command.spec->atMostOnce = command.spec->kind == wire::JobKind::Batch && this->chance(2) == 0;
+        command.spec->runSeconds = this->randomBelow(4);
+        command.spec->atMostOnce = command.spec->kind == wire::JobKind::Batch && this->randomBelow(2) == 0;
         this->propose(std::move(command));
     }
 
-    void inject()
+    void injectFault()
     {
-        FakeWorker &worker = this->workers[this->chance(workerCount)];
-        switch (this->chance(13)) {
+        FakeWorker &worker = this->workers[this->randomBelow(workerCount)];
+        switch (this->randomBelow(13)) {
         case 0:
         case 1:
         case 2:
@@ -196,7 +196,7 @@
             worker.dead = false;
             break;
         case 6:
-            // A restart: the tasks and everything known are gone, but for the sequence.
+            // A restart loses the tasks and all state except the sequence.
             worker.running.clear();
             worker.finished.clear();
             worker.term = 0;
@@ -216,25 +216,25 @@
         case 10:
             if (!this->state.jobs().empty()) {
                 wire::CancelJobT command;
-                command.job = std::next(this->state.jobs().begin(), static_cast<std::ptrdiff_t>(this->chance(this->state.jobs().size())))->first;
+                command.job = std::next(this->state.jobs().begin(), static_cast<std::ptrdiff_t>(this->randomBelow(this->state.jobs().size())))->first;
                 this->propose(command);
             }
             break;
         case 11:
-            this->placeBlindly();
+            this->placeAtRandom();
             break;
         default: {
             wire::DrainWorkerT command;
             command.worker = worker.name;
-            command.draining = this->chance(2) == 0;
+            command.draining = this->randomBelow(2) == 0;
             this->propose(std::move(command));
             break;
         }
         }
     }
 
-    /** Placements without a look at what is free, as a late decision of an earlier leader may be. */
-    void placeBlindly()
+    /** Proposes placements regardless of free capacity, as a late decision of an earlier leader may do. */
+    void placeAtRandom()
     {
         wire::PlaceTasksT command;
         for (const std::uint64_t id : this->state.queuedJobs()) {
@@ -243,7 +243,7 @@
                 auto placement = std::make_unique<wire::PlacementT>();
                 placement->job = id;
                 placement->index = task.index;
-                placement->worker = this->workers[this->chance(workerCount)].name;
+                placement->worker = this->workers[this->randomBelow(workerCount)].name;
                 group->placements.push_back(std::move(placement));
             }
             command.groups.push_back(std::move(group));
@@ -254,16 +254,16 @@
     void advance(Duration duration)
     {
         const Timestamp end = this->now + duration;
-        while (this->now < end && !this->broken) {
+        while (this->now < end && !this->firstViolation) {
             this->now += stepTime;
             this->applyProposals();
-            this->takeAnnouncements();
-            this->answerHeld();
-            this->lead();
+            this->deliverAnnouncements();
+            this->answerHeldAnnouncements();
+            this->runLeader();
             for (std::size_t index = 0; index < this->workers.size(); ++index) {
-                this->work(index);
+                this->runWorker(index);
             }
-            this->look();
+            this->checkRunningTasks();
         }
     }
 
@@ -272,12 +272,12 @@
         while (!this->proposals.empty() && this->proposals.front().due <= this->now) {
             const Proposal proposal = std::move(this->proposals.front());
             this->proposals.pop_front();
-            this->placementUnderWay = this->placementUnderWay && !proposal.isPlacement;
+            this->isPlacementInFlight = this->isPlacementInFlight && !proposal.isPlacement;
             this->apply(proposal.command);
         }
     }
 
-    void takeAnnouncements()
+    void deliverAnnouncements()
     {
         for (std::size_t index = 0; index < this->announcements.size();) {
             if (this->announcements[index].due > this->now) {
@@ -290,13 +290,13 @@
                 ledger::AnnouncementResult result = this->leases->announce(this->now, announcement.request, this->state);
                 for (wire::CommandUnion &command : result.commands) {
                     this->proposals.push_back({this->now + this->commitDelay(), std::move(command), false});
-                    this->orderProposals();
+                    this->keepProposalsOrdered();
                 }
-                if (this->chance(3) == 0) {
-                    // Held back, and answered from a later state.
-                    this->held.push_back({this->now + absl::Milliseconds(20 * this->chance(15)), announcement.worker, announcement.request});
-                } else if (this->chance(6) > 0) {
-                    this->replies.push_back({this->now + this->delay(), announcement.worker, announcement.request.clockMicros, std::move(result.reply)});
+                if (this->randomBelow(3) == 0) {
+                    // The announcement is held back and answered from a later state.
+                    this->heldAnnouncements.push_back({this->now + absl::Milliseconds(20 * this->randomBelow(15)), announcement.worker, announcement.request});
+                } else if (this->randomBelow(6) > 0) {
+                    this->replies.push_back({this->now + this->networkDelay(), announcement.worker, announcement.request.clockMicros, std::move(result.reply)});
                 }
             } catch (const StaleAnnouncementError &) {
                 continue;
@@ -304,23 +304,23 @@
         }
     }
 
-    void answerHeld()
+    void answerHeldAnnouncements()
     {
-        for (std::size_t index = 0; index < this->held.size();) {
-            if (this->held[index].due > this->now) {
+        for (std::size_t index = 0; index < this->heldAnnouncements.size();) {
+            if (this->heldAnnouncements[index].due > this->now) {
                 ++index;
                 continue;
             }
-            const Announcement announcement = std::move(this->held[index]);
-            this->held.erase(this->held.begin() + static_cast<std::ptrdiff_t>(index));
+            const Announcement announcement = std::move(this->heldAnnouncements[index]);
+            this->heldAnnouncements.erase(this->heldAnnouncements.begin() + static_cast<std::ptrdiff_t>(index));
             std::optional<wire::AnnounceReplyT> reply = this->leases->replyNow(announcement.request, this->state);
             if (reply) {
-                this->replies.push_back({this->now + this->delay(), announcement.worker, announcement.request.clockMicros, std::move(*reply)});
+                this->replies.push_back({this->now + this->networkDelay(), announcement.worker, announcement.request.clockMicros, std::move(*reply)});
             }
         }
     }
 
-    void orderProposals()
+    void keepProposalsOrdered()
     {
         Proposal &last = this->proposals.back();
         if (this->proposals.size() > 1) {
@@ -328,54 +328,54 @@
         }
     }
 
-    /** Mostly quick; now and then an election or a slow disk holds a proposal up. */
+    /** Mostly short, but occasionally as long as during an election or with a slow disk. */
     Duration commitDelay()
     {
-        return this->chance(6) == 0 ? stepTime * this->chance(60) : stepTime * this->chance(5);
+        return this->randomBelow(6) == 0 ? stepTime * this->randomBelow(60) : stepTime * this->randomBelow(5);
     }
 
-    Duration delay()
+    Duration networkDelay()
     {
-        return this->chance(5) == 0 ? absl::Milliseconds(20 * this->chance(200)) : stepTime * this->chance(3);
+        return this->randomBelow(5) == 0 ? absl::Milliseconds(20 * this->randomBelow(200)) : stepTime * this->randomBelow(3);
     }
 
-    void lead()
+    void runLeader()
     {
         for (wire::CommandUnion &command : this->leases->expire(this->now, this->state)) {
             this->proposals.push_back({this->now + this->commitDelay(), std::move(command), false});
-            this->orderProposals();
+            this->keepProposalsOrdered();
         }
         this->scheduler.setReachable(this->state, [this](const std::string &worker) { return this->leases->isReachable(this->now, worker); });
         this->scheduler.refresh(this->state);
-        if (!this->placementUnderWay) {
+        if (!this->isPlacementInFlight) {
             std::optional<wire::PlaceTasksT> command = this->scheduler.decide(this->state, absl::ToUnixMicros(this->now));
             if (command) {
-                this->placementUnderWay = true;
+                this->isPlacementInFlight = true;
                 this->propose(std::move(*command), true);
             }
         }
     }
 
-    void work(std::size_t index)
+    void runWorker(std::size_t index)
     {
         FakeWorker &worker = this->workers[index];
         if (worker.frozen || worker.dead) {
-            // A dead worker runs nothing; a frozen one's tasks run on until their lease ends by its clock.
+            // A dead worker runs nothing. The tasks of a frozen worker run until their lease ends by its clock.
             if (worker.dead) {
                 worker.running.clear();
             }
-            this->endDue(worker);
+            this->endExpiredRuns(worker);
             return;
         }
-        this->takeReplies(index);
-        this->endDue(worker);
+        this->deliverReplies(index);
+        this->endExpiredRuns(worker);
         if (this->now >= worker.nextAnnounce) {
             worker.nextAnnounce = this->now + this->timing.announceInterval;
             this->announce(index);
         }
     }
 
-    void endDue(FakeWorker &worker)
+    void endExpiredRuns(FakeWorker &worker)
     {
         const std::int64_t clock = this->clockOf(worker);
         for (auto run = worker.running.begin(); run != worker.running.end();) {
@@ -384,7 +384,7 @@
             } else if (clock >= run->second.endClock) {
                 wire::FinishedAttemptT attempt;
                 attempt.lease = wire::TaskLease(run->first.first, run->first.second, run->second.epoch);
-                attempt.outcome = static_cast<wire::AttemptOutcome>(this->chance(2));
+                attempt.outcome = static_cast<wire::AttemptOutcome>(this->randomBelow(2));
                 worker.finished.push_back(attempt);
                 run = worker.running.erase(run);
             } else {
@@ -393,7 +393,7 @@
         }
     }
 
-    void takeReplies(std::size_t index)
+    void deliverReplies(std::size_t index)
     {
         FakeWorker &worker = this->workers[index];
         for (std::size_t position = 0; position < this->replies.size();) {
@@ -406,11 +406,11 @@
             if (reply.reply.sequence != worker.sequence || reply.reply.term < worker.term) {
                 continue;
             }
-            this->takeReply(worker, reply);
+            this->handleReply(worker, reply);
         }
     }
 
-    void takeReply(FakeWorker &worker, const Reply &reply)
+    void handleReply(FakeWorker &worker, const Reply &reply)
     {
         worker.term = reply.reply.term;
         worker.replySequence = reply.reply.sequence;
@@ -430,8 +430,8 @@
         });
         for (const auto &assignment : reply.reply.started) {
             const TaskKey key{assignment->lease.job(), assignment->lease.index()};
-            const std::int64_t length = static_cast<std::int64_t>(assignment->runSeconds) * 1'000'000 + 100'000;
-            const std::int64_t end = assignment->kind == wire::JobKind::Service ? INT64_MAX : this->clockOf(worker) + length;
+            const std::int64_t runMicros = static_cast<std::int64_t>(assignment->runSeconds) * 1'000'000 + 100'000;
+            const std::int64_t end = assignment->kind == wire::JobKind::Service ? INT64_MAX : this->clockOf(worker) + runMicros;
             worker.running[key] = {assignment->lease.epoch(), end, assignment->resources};
             const ledger::Job *job = this->state.findJob(key.first);
             if (job != nullptr && job->spec().atMostOnce && ++this->starts[key] > 1) {
@@ -444,7 +444,7 @@
     {
         FakeWorker &worker = this->workers[index];
         Announcement announcement;
-        announcement.due = this->now + this->delay();
+        announcement.due = this->now + this->networkDelay();
         announcement.worker = index;
         wire::AnnounceRequestT &request = announcement.request;
         request.worker = worker.name;
@@ -463,12 +463,12 @@
         for (const wire::FinishedAttemptT &attempt : worker.finished) {
             request.finished.push_back(std::make_unique<wire::FinishedAttemptT>(attempt));
         }
-        if (this->chance(8) > 0) {
+        if (this->randomBelow(8) > 0) {
             this->announcements.push_back(std::move(announcement));
         }
     }
 
-    void look()
+    void checkRunningTasks()
     {
         std::map<TaskKey, std::string> places;
         for (const FakeWorker &worker : this->workers) {
@@ -481,19 +481,19 @@
                 used = ledger::plus(used, run.need);
             }
             if (!ledger::fits(used, wire::Resources(4000, 1000, 2))) {
-                this->fail(absl::StrCat(worker.name, " runs tasks over its capacity"));
+                this->fail(absl::StrCat(worker.name, " runs tasks above its capacity"));
             }
         }
     }
 
-    void settle()
+    void recoverAndVerify()
     {
         for (FakeWorker &worker : this->workers) {
             worker.frozen = false;
             worker.dead = false;
             worker.draining = false;
         }
-        this->advance(absl::Seconds(5)); // Submissions under way.
+        this->advance(absl::Seconds(5)); // For submissions in flight.
         for (const auto &[id, job] : this->state.jobs()) {
             wire::CancelJobT command;
             command.job = id;
@@ -507,7 +507,7 @@
         }
         for (const auto &[name, worker] : this->state.workers()) {
             if (!worker.tasks().empty() || !ledger::isZero(worker.reserved())) {
-                this->fail(absl::StrCat(name, " keeps a reservation of ended jobs"));
+                this->fail(absl::StrCat(name, " still holds a reservation of ended jobs"));
             }
         }
     }
@@ -521,25 +521,25 @@
     std::unique_ptr<ledger::LeaseTable> leases;
     std::uint64_t term = 0;
     std::deque<Proposal> proposals;
-    bool placementUnderWay = false;
+    bool isPlacementInFlight = false;
     std::vector<FakeWorker> workers;
     std::vector<Announcement> announcements;
-    std::vector<Announcement> held;
+    std::vector<Announcement> heldAnnouncements;
     std::vector<Reply> replies;
     std::map<TaskKey, std::size_t> starts;
     std::uint64_t nextSubmission = 1;
-    std::optional<std::string> broken;
+    std::optional<std::string> firstViolation;
 };
 
-bool tellsOfTwoRuns(const std::string &violation)
+bool isDoubleRun(const std::string &violation)
 {
     return violation.find(" runs on ") != std::string::npos || violation.find(" started twice") != std::string::npos;
 }
 
-/** The first promise that some scenario breaks; empty if none does. */
-std::string findBroken(ledger::LeaseGuards guards)
+/** The first violation of any scenario; empty without one. */
+std::string findViolation(ledger::LeaseGuards guards)
 {
-    for (std::uint64_t seed = 1; seed <= mutantScenarios; ++seed) {
+    for (std::uint64_t seed = 1; seed <= redScenarios; ++seed) {
         const std::optional<std::string> violation = FakeCell(seed, guards).run();
         if (violation) {
             return *violation;
@@ -560,23 +560,23 @@
     }
 }
 
-TEST_CASE("cell_concludingFromOldReplies_isCaught", "[proof][red]")
+TEST_CASE("cell_oldRepliesNotFenced_isCaught", "[proof][red]")
 {
     ledger::LeaseGuards guards;
     guards.fenceOldReplies = false;
-    REQUIRE(tellsOfTwoRuns(findBroken(guards)));
+    REQUIRE(isDoubleRun(findViolation(guards)));
 }
 
-TEST_CASE("cell_withoutRenewalAtElection_isCaught", "[proof][red]")
+TEST_CASE("cell_leasesNotRenewedAtElection_isCaught", "[proof][red]")
 {
     ledger::LeaseGuards guards;
     guards.renewAtElection = false;
-    REQUIRE(tellsOfTwoRuns(findBroken(guards)));
+    REQUIRE(isDoubleRun(findViolation(guards)));
 }
 
-TEST_CASE("cell_renewingLeasesUnderWayToTheirEnd_isCaught", "[proof][red]")
+TEST_CASE("cell_leaseRenewedAfterProposedEnd_isCaught", "[proof][red]")
 {
     ledger::LeaseGuards guards;
     guards.withdrawBeforeEnd = false;
-    REQUIRE(tellsOfTwoRuns(findBroken(guards)));
+    REQUIRE(isDoubleRun(findViolation(guards)));
 }
--- a/paddlepier/scheduling/placementindex.cpp
+++ b/paddlepier/scheduling/placementindex.cpp
@@ -1,4 +1,4 @@
-// Index of free resources over workers.
+// Index of the free capacity of workers.
 
 #include "paddlepier/scheduling/placementindex.h"
 
@@ -49,7 +49,7 @@
 void PlacementIndex::change(const std::string &worker, const Resources &free)
 {
     Candidate &candidate = *this->byName.at(worker);
-    // The tree's node moves to its new place, so that a change allocates nothing.
+    // The node of the tree is moved to its new position, which avoids an allocation.
     auto node = this->orderOf(candidate).extract(keyOf(candidate));
     candidate.free = free;
     node.value() = keyOf(candidate);
--- a/paddlepier/scheduling/placementindex.h
+++ b/paddlepier/scheduling/placementindex.h
@@ -1,15 +1,15 @@
-// Index of free resources over workers.
+// Index of the free capacity of workers.
 //
-// Workers are ordered by free processors, apart by whether they have free accelerators, so that the tightest worker for
-// a task is found without looking at those that are too full. Workers without accelerators are tried first for tasks
-// that need none.
+// Workers are ordered by free processors, in separate orders for workers with and without free accelerators, so that the
+// best-fitting worker for a task is found without visiting workers with too few free processors. A task that needs no
+// accelerators is tried on workers without free accelerators first.
 //
 // Example:
-//     index.set("worker-7", {.free = ..., .rack = "r1"});
-//     const Candidate *tightest = index.tightest(need);
+//     index.set("worker-7", "r1", free);
+//     const Candidate *candidate = index.bestFit(need);
 //
-// Thread safety: none. set() and remove() are O(log n); tightest() is O(log n + k) for k workers that have the processors
-// but not the memory; visitRoomiest() is O(visited).
+// Thread safety: none. set() and remove() are O(log n); bestFit() is O(log n + k) for k workers that have enough
+// processors but too little memory; visitMostFree() is O(visited).
 
 #ifndef PADDLEPIER_SCHEDULING_PLACEMENTINDEX_H
 #define PADDLEPIER_SCHEDULING_PLACEMENTINDEX_H
@@ -30,7 +30,7 @@
 
 using ledger::Resources;
 
-/** A worker that may get tasks. */
+/** A worker that may receive tasks. */
 struct Candidate {
     std::string worker;
     std::string rack;
@@ -40,19 +40,20 @@
 class PlacementIndex
 {
 public:
-    /** Adds a worker or changes what it has free. */
+    /** Adds a worker or replaces its rack and free capacity. */
     void set(const std::string &worker, const std::string &rack, const Resources &free);
     void remove(const std::string &worker);
     void clear();
 
-    /** Changes what a worker has free by a tentative placement. */
+    /** Subtracts a tentative placement from the free capacity of a worker. */
     void reserve(const std::string &worker, const Resources &need);
+    /** Undoes a tentative placement. */
     void release(const std::string &worker, const Resources &need);
 
-    /** The worker on which @p need leaves the fewest processors, then the least memory; null if it fits nowhere. */
+    /** The worker on which @p need leaves the fewest processors, then the least memory; null if it fits on no worker. */
     const Candidate *bestFit(const Resources &need) const;
 
-    /** Calls @p visit for workers on which @p need fits, most free processors first, until it returns false. */
+    /** Calls @p visit for the workers on which @p need fits, most free processors first, until it returns false. */
     template<typename Visitor>
     void visitMostFree(const Resources &need, Visitor visit) const;
 
@@ -60,7 +61,7 @@
     std::size_t size() const;
 
 private:
-    // Free processors, memory, accelerators, then the name, so that the order is total and the same everywhere.
+    // Free processors, memory, accelerators, then the worker's name, so that the order is total and the same in every process.
     using Key = std::tuple<std::uint64_t, std::uint64_t, std::uint64_t, const Candidate *>;
     struct KeyOrder {
         bool operator()(const Key &left, const Key &right) const;
@@ -73,7 +74,7 @@
     void change(const std::string &worker, const Resources &free);
 
     absl::flat_hash_map<std::string, std::unique_ptr<Candidate>> byName;
-    // Invariant: every candidate stands in exactly one of the two.
+    // Invariant: every candidate is in exactly one of the two orders: `accelerated` if it has free accelerators, else `plain`.
     Order plain;
     Order accelerated;
 };
--- a/paddlepier/scheduling/policies.h
+++ b/paddlepier/scheduling/policies.h
@@ -1,7 +1,7 @@
 // Placement policies, one for each kind of job.
 //
-// A policy picks the worker for one task out of the index. Policies are chosen when the code is built: the scheduler
-// takes any type that meets PlacementPolicy.
+// A policy chooses the worker for one task from the index. Policies are chosen at compile time: the scheduler accepts any
+// type that satisfies PlacementPolicy.
 //
 // Thread safety: values without shared state.
 
@@ -29,7 +29,7 @@
     policy.chose(chosen);
 };
 
-/** Batch and gangs: the tightest worker, which keeps large holes for large tasks. */
+/** Batch jobs and gangs: the worker that fits best, which leaves workers with much free capacity to large tasks. */
 class PackingPolicy
 {
 public:
@@ -43,7 +43,7 @@
     }
 };
 
-/** Services: the rack, then the worker, that holds the fewest tasks of the same job; among equals the roomiest. */
+/** Services: the rack, then the worker, with the fewest tasks of the same job; among equals, the worker with the most free processors. */
 class SpreadingPolicy
 {
 public:
@@ -78,7 +78,7 @@
     }
 
 private:
-    /** Enough to see several racks of 8, and few enough to stay cheap with thousands of workers. */
+    /** Covers several racks of 8 workers and bounds the cost with thousands of workers. */
     static constexpr std::size_t maxVisited = 64;
 
     std::pair<std::size_t, std::size_t> weightOf(const Candidate &candidate) const
--- a/paddlepier/scheduling/scheduler.cpp
+++ b/paddlepier/scheduling/scheduler.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-/** What one call of decide() works on. */
+/** State of one call of decide(). */
 struct Scheduler::Round {
     const ledger::Ledger &ledger;
     const std::int64_t atMicros;
@@ -46,20 +46,20 @@
     std::size_t placed = 0;
     Resources capacity;
     std::map<std::string, Resources> used;
-    /** Amounts that fitted nowhere in this round; anything as large needs no further search. */
-    std::vector<Resources> tooLarge;
+    /** Needs that fitted on no worker in this round; a need at least as large isn't searched for again. */
+    std::vector<Resources> unplaceable;
 
     bool isFull() const
     {
         return this->placed >= maxPlacementsPerRound;
     }
 
-    bool isKnownTooLarge(const Resources &need) const
+    bool isKnownUnplaceable(const Resources &need) const
     {
-        return std::any_of(this->tooLarge.begin(), this->tooLarge.end(), [&need](const Resources &failed) { return ledger::fits(failed, need); });
+        return std::any_of(this->unplaceable.begin(), this->unplaceable.end(), [&need](const Resources &failed) { return ledger::fits(failed, need); });
     }
 
-    void count(const ledger::Job &job)
+    void countPlacement(const ledger::Job &job)
     {
         Resources &sum = this->used[job.record().partner];
         sum = ledger::plus(sum, job.spec().resources);
@@ -84,9 +84,9 @@
 
 void Scheduler::rebuild(ledger::Ledger &ledger)
 {
-    std::map<std::string, double> kept = std::move(this->quotas);
+    std::map<std::string, double> savedQuotas = std::move(this->quotas);
     *this = Scheduler();
-    this->quotas = std::move(kept);
+    this->quotas = std::move(savedQuotas);
     ledger.drainChangedWorkers();
     ledger.drainChangedJobs();
     for (const std::uint64_t id : ledger.queuedJobs()) {
@@ -105,7 +105,7 @@
     if (quota == this->quotas.end()) {
         return false;
     }
-    // A gang counts whole, since it is placed whole.
+    // All tasks of a gang count, because they are placed together.
     const std::size_t tasks = job.spec().kind == wire::JobKind::Gang ? job.tasks().size() : 1;
     Resources after = used;
     for (std::size_t task = 0; task < tasks; ++task) {
@@ -139,11 +139,11 @@
 
 void Scheduler::updateJob(const ledger::Ledger &ledger, std::uint64_t id)
 {
-    const auto known = this->places.find(id);
-    if (known != this->places.end()) {
+    const auto known = this->queuePositions.find(id);
+    if (known != this->queuePositions.end()) {
         const auto &[jobClass, partner, key] = known->second;
         this->queues[jobClass][partner].erase(key);
-        this->places.erase(known);
+        this->queuePositions.erase(known);
     }
     const ledger::Job *job = ledger.findJob(id);
     if (job == nullptr || job->count(wire::TaskState::Queued) == 0) {
@@ -152,16 +152,16 @@
     const Class jobClass = classOf(*job);
     const QueueKey key = keyOf(*job);
     this->queues[jobClass][job->record().partner].insert(key);
-    this->places.emplace(id, std::make_tuple(jobClass, job->record().partner, key));
+    this->queuePositions.emplace(id, std::make_tuple(jobClass, job->record().partner, key));
 }
 
 void Scheduler::setReachable(const ledger::Ledger &ledger, const Reachable &isReachable)
 {
     for (const auto &[name, worker] : ledger.workers()) {
-        const bool now = isReachable(name);
+        const bool isNowReachable = isReachable(name);
         const auto [found, isNew] = this->reachable.try_emplace(name, false);
-        if (isNew || found->second != now) {
-            found->second = now;
+        if (isNew || found->second != isNowReachable) {
+            found->second = isNowReachable;
             this->updateWorker(ledger, name);
         }
     }
@@ -169,7 +169,7 @@
 
 std::optional<wire::PlaceTasksT> Scheduler::decide(const ledger::Ledger &ledger, std::int64_t atMicros)
 {
-    if (this->places.empty() || this->index.size() == 0) {
+    if (this->queuePositions.empty() || this->index.size() == 0) {
         return std::nullopt;
     }
     Round round{ledger, atMicros, {}, 0, {}, {}, {}};
@@ -194,7 +194,7 @@
         std::string partner;
         Queue::const_iterator next;
         Queue::const_iterator end;
-        std::size_t passedOver = 0;
+        std::size_t skippedJobs = 0;
     };
     std::vector<Cursor> cursors;
     for (const auto &[partner, queue] : this->queues[jobClass]) {
@@ -205,8 +205,8 @@
         double bestShare = 0;
         for (Cursor &cursor : cursors) {
             const double share = ledger::dominantShare(round.used[cursor.partner], round.capacity);
-            const bool isOpen = cursor.next != cursor.end && cursor.passedOver < maxSkippedJobs;
-            if (isOpen && (best == nullptr || share < bestShare)) {
+            const bool hasCandidateJob = cursor.next != cursor.end && cursor.skippedJobs < maxSkippedJobs;
+            if (hasCandidateJob && (best == nullptr || share < bestShare)) {
                 best = &cursor;
                 bestShare = share;
             }
@@ -217,7 +217,7 @@
         const ledger::Job *job = round.ledger.findJob(std::get<2>(*best->next));
         ++best->next;
         if (!this->placeJob(round, *job)) {
-            ++best->passedOver;
+            ++best->skippedJobs;
         }
     }
 }
@@ -225,7 +225,7 @@
 bool Scheduler::placeJob(Round &round, const ledger::Job &job)
 {
     const std::size_t before = round.placed;
-    if (round.isKnownTooLarge(job.spec().resources) || this->isOverQuota(job, round.used[job.record().partner], round.capacity)) {
+    if (round.isKnownUnplaceable(job.spec().resources) || this->isOverQuota(job, round.used[job.record().partner], round.capacity)) {
         return false;
     }
     switch (job.spec().kind) {
@@ -251,7 +251,7 @@
         }
         const Candidate *chosen = policy.choose(this->index, job.spec().resources);
         if (chosen == nullptr) {
-            round.tooLarge.push_back(job.spec().resources);
+            round.unplaceable.push_back(job.spec().resources);
             return;
         }
         auto group = std::make_unique<wire::PlacementGroupT>();
@@ -259,7 +259,7 @@
         round.command.groups.push_back(std::move(group));
         policy.chose(*chosen);
         this->index.reserve(chosen->worker, job.spec().resources);
-        round.count(job);
+        round.countPlacement(job);
     }
 }
 
@@ -282,7 +282,7 @@
         return;
     }
     for (std::size_t placed = 0; placed < tasks.size(); ++placed) {
-        round.count(job);
+        round.countPlacement(job);
     }
     round.command.groups.push_back(std::move(group));
 }
--- a/paddlepier/scheduling/scheduler.h
+++ b/paddlepier/scheduling/scheduler.h
@@ -1,18 +1,19 @@
 // Placement of queued tasks by the leader of a ledger.
 //
-// Order of work: urgent jobs, then services, then the rest; within a class the partner with the smaller dominant share
-// goes first, so that priority numbers order only a partner's own work. Within one partner: priority, deadline, order of
-// submission. A job that doesn't fit is passed over (backfill); a gang that doesn't fit as a whole takes nothing.
+// Order: urgent jobs, then services, then all other jobs. Within a class, the partner with the smallest dominant share
+// goes first, so that priorities only order a partner's own jobs. Within a partner: priority, deadline, order of
+// submission. A job that doesn't fit is skipped (backfill). A gang is placed completely or not at all.
 //
-// The scheduler decides on a tentative copy of the free resources and gives out one PlaceTasks command; the ledger
-// checks every reservation again when it is applied. The caller proposes one such command at a time.
+// The scheduler decides on a tentative copy of the free capacity and returns one PlaceTasks command. The ledger checks
+// each reservation again when it applies the command. The caller has at most one such command in flight.
 //
 // Example:
-//     scheduler.refresh(ledger, isReachable);
+//     scheduler.refresh(ledger);
+//     scheduler.setReachable(ledger, isReachable);
 //     std::optional<wire::PlaceTasksT> command = scheduler.decide(ledger, wallMicros);
 //
-// Thread safety: none; owned by the control thread. refresh() costs O(log n) for each changed worker and job, decide()
-// O(log n) for each placed task and for each job passed over, of which a round sees a bounded number.
+// Thread safety: none; owned by the control thread. refresh() is O(log n) for each changed worker and job. decide() is
+// O(log n) for each placed task and each skipped job, both of which are bounded per round.
 
 #ifndef PADDLEPIER_SCHEDULING_SCHEDULER_H
 #define PADDLEPIER_SCHEDULING_SCHEDULER_H
@@ -35,10 +36,10 @@
 namespace paddlepier::scheduling
 {
 
-/** Most tasks placed by one command, hence by one log entry. */
+/** Maximum number of tasks placed by one command, and so by one log entry. */
 constexpr std::size_t maxPlacementsPerRound = 512;
 
-/** Jobs of one partner and class that may be passed over in a round before the class is left. */
+/** Maximum number of jobs of one partner and class that are skipped in a round; the partner's other jobs of the class then wait. */
 constexpr std::size_t maxSkippedJobs = 64;
 
 class Scheduler
@@ -46,27 +47,27 @@
 public:
     using Reachable = std::function<bool(const std::string &)>;
 
-    /** Takes over the whole ledger; no worker counts as reachable yet. */
+    /** Rebuilds all state from the ledger; every worker is unreachable until setReachable() is called. */
     void rebuild(ledger::Ledger &ledger);
 
-    /** Takes over what changed in the ledger. @return the workers that changed */
+    /** Applies the changes of the ledger since the last call. @return the workers that changed */
     std::vector<std::string> refresh(ledger::Ledger &ledger);
 
-    /** Sets which workers may get new tasks; call it when reachability may have changed. */
+    /** Sets which workers may receive new tasks; to be called whenever reachability may have changed. */
     void setReachable(const ledger::Ledger &ledger, const Reachable &isReachable);
 
-    /** Largest dominant share of each partner, 0 to 1; a partner without one may take everything. */
+    /** Sets the largest dominant share of each partner, 0 to 1; a partner without an entry has no quota. */
     void setQuotas(std::map<std::string, double> quotaByPartner);
 
-    /** The next placements; nothing if none can be made now. @p atMicros is wall time, for backoffs. */
+    /** The next placements; nothing if no task can be placed now. @p atMicros is wall time, for backoffs. */
     std::optional<wire::PlaceTasksT> decide(const ledger::Ledger &ledger, std::int64_t atMicros);
 
-    /** Why a job with queued tasks waits. */
+    /** Why a job with queued tasks is waiting. */
     wire::WaitReason explain(const ledger::Ledger &ledger, const ledger::Job &job, std::int64_t atMicros) const;
 
 private:
     enum class Class { Urgent, Service, Other };
-    // Class, priority (greatest first), deadline, number.
+    // Priority (highest first), deadline, job number.
     using QueueKey = std::tuple<std::int64_t, std::int64_t, std::uint64_t>;
     using Queue = std::set<QueueKey>;
     struct Round;
@@ -89,7 +90,8 @@
     absl::flat_hash_map<std::string, bool> reachable;
     // Invariant: holds exactly the jobs with queued tasks, as of the last refresh().
     std::map<Class, std::map<std::string, Queue>> queues;
-    absl::flat_hash_map<std::uint64_t, std::tuple<Class, std::string, QueueKey>> places;
+    // Position of each queued job in `queues`.
+    absl::flat_hash_map<std::uint64_t, std::tuple<Class, std::string, QueueKey>> queuePositions;
 };
 
 } // namespace paddlepier::scheduling
--- a/paddlepier/scheduling/scheduler_benchmark.cpp
+++ b/paddlepier/scheduling/scheduler_benchmark.cpp
@@ -1,4 +1,4 @@
-// Placement decisions: the index against a scan of all workers, at several sizes of the cell.
+// Cost of placement decisions with the index and with a scan of all workers, at several sizes of the cell.
 
 #include "paddlepier/scheduling/scheduler.h"
 
@@ -15,7 +15,7 @@
 
 constexpr std::size_t batchSize = 256;
 
-/** Half-filled workers and needs of mixed sizes, the same in every run. */
+/** Partly filled workers and needs of mixed sizes, identical in every run. */
 struct Workload {
     explicit Workload(std::size_t workerCount)
         : random(20261202)
@@ -35,14 +35,14 @@
     std::vector<wire::Resources> needs;
 };
 
-/** Best fit by looking at every worker: the baseline. */
+/** Baseline: best fit by a scan of all workers. */
 Candidate *scan(std::vector<Candidate> &candidates, const wire::Resources &need)
 {
-    const auto rest = [&need](const Candidate &candidate) { return candidate.free.milliProcessors() - need.milliProcessors(); };
+    const auto remainingProcessors = [&need](const Candidate &candidate) { return candidate.free.milliProcessors() - need.milliProcessors(); };
     Candidate *best = nullptr;
     for (Candidate &candidate : candidates) {
-        const bool wastes = need.accelerators() == 0 && candidate.free.accelerators() > 0;
-        if (ledger::fits(need, candidate.free) && !wastes && (best == nullptr || rest(candidate) < rest(*best))) {
+        const bool wastesAccelerators = need.accelerators() == 0 && candidate.free.accelerators() > 0;
+        if (ledger::fits(need, candidate.free) && !wastesAccelerators && (best == nullptr || remainingProcessors(candidate) < remainingProcessors(*best))) {
             best = &candidate;
         }
     }
@@ -108,12 +108,12 @@
 template<typename Command>
 void applyTo(ledger::Ledger &ledger, Command command)
 {
-    wire::CommandUnion united;
-    united.Set(std::move(command));
-    ledger.apply(entryOf(std::move(united)));
+    wire::CommandUnion commandUnion;
+    commandUnion.Set(std::move(command));
+    ledger.apply(entryOf(std::move(commandUnion)));
 }
 
-/** A cell of the given number of workers with 20 tasks each to run, in jobs of 10 tasks. */
+/** A cell of @p workers workers with @p tasks queued tasks in jobs of 10 tasks; 13,000 tasks for 660 workers are about 20 each. */
 ledger::Ledger makeCell(std::int64_t workers, std::int64_t tasks)
 {
     ledger::Ledger ledger;
@@ -141,7 +141,7 @@
     return ledger;
 }
 
-/** A whole round of the scheduler with its command applied, for a queue of the given number of tasks. */
+/** Rounds of the scheduler, with their commands applied, until a queue of the given number of tasks has no placeable task left. */
 void BM_SchedulerRounds(benchmark::State &state)
 {
     std::size_t placed = 0;
@@ -153,9 +153,9 @@
         scheduler.setReachable(ledger, [](const std::string &) { return true; });
         state.ResumeTiming();
         while (std::optional<wire::PlaceTasksT> command = scheduler.decide(ledger, 2)) {
-            wire::CommandUnion united;
-            united.Set(std::move(*command));
-            placed += ledger.apply(entryOf(std::move(united))).placed;
+            wire::CommandUnion commandUnion;
+            commandUnion.Set(std::move(*command));
+            placed += ledger.apply(entryOf(std::move(commandUnion))).placed;
             scheduler.refresh(ledger);
         }
     }
@@ -163,7 +163,7 @@
 }
 BENCHMARK(BM_SchedulerRounds)->Arg(1000)->Arg(13000)->Arg(100000)->Unit(benchmark::kMillisecond);
 
-/** Snapshot and restore of a ledger with the given number of placed tasks; counts the bytes. */
+/** Snapshot and restore of a ledger with the given number of queued tasks; reports the size of the snapshot in bytes. */
 void BM_LedgerSnapshot(benchmark::State &state)
 {
     const ledger::Ledger ledger = makeCell(660, state.range(0));
@@ -178,7 +178,7 @@
 }
 BENCHMARK(BM_LedgerSnapshot)->Arg(1000)->Arg(13000)->Arg(100000)->Unit(benchmark::kMillisecond);
 
-/** A cancelled festival day: 10,000 tasks of 1,000 jobs, cancelled one job a command. */
+/** Mass cancellation, as when an event is called off: 10,000 tasks in 1,000 jobs, with one command for each job. */
 void BM_WaveOfCancels(benchmark::State &state)
 {
     for (auto _ : state) {
--- a/paddlepier/scheduling/scheduler_test.cpp
+++ b/paddlepier/scheduling/scheduler_test.cpp
@@ -1,4 +1,4 @@
-// Placement: what each kind, partner and quota gets.
+// Scheduler: placements by kind of job, partner and quota.
 
 #include "paddlepier/scheduling/scheduler.h"
 
@@ -47,7 +47,7 @@
         return this->apply(std::move(command)).job;
     }
 
-    /** Places until nothing more fits. */
+    /** Places tasks until no more fit. */
     void schedule()
     {
         this->scheduler.setReachable(this->ledger, [](const std::string &) { return true; });
@@ -70,7 +70,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(SchedulerFixture, "gang_withoutRoomForAll_takesNothing")
+TEST_CASE_METHOD(SchedulerFixture, "gang_withoutCapacityForAllTasks_reservesNothing")
 {
     this->addWorker("w1", "r1", 3000);
     const std::uint64_t gang = this->submit("p", wire::JobKind::Gang, 4, 1000);
@@ -84,7 +84,7 @@
     REQUIRE(this->placed(gang) == 4);
 }
 
-TEST_CASE_METHOD(SchedulerFixture, "service_severalRacks_isSpread")
+TEST_CASE_METHOD(SchedulerFixture, "service_severalRacks_isSpreadAcrossRacks")
 {
     for (int number = 0; number < 6; ++number) {
         this->addWorker(absl::StrCat("w", number), absl::StrCat("r", number / 2), 8000);
@@ -98,7 +98,7 @@
     REQUIRE(racks.size() == 3);
 }
 
-TEST_CASE_METHOD(SchedulerFixture, "batch_tightestWorker_keepsLargeHoles")
+TEST_CASE_METHOD(SchedulerFixture, "batch_severalWorkersFit_isPlacedOnBestFit")
 {
     this->addWorker("large", "r1", 16000);
     this->addWorker("small", "r1", 2000);
@@ -108,26 +108,26 @@
     REQUIRE(this->ledger.findJob(batch)->tasks()[0].worker == "small");
 }
 
-TEST_CASE_METHOD(SchedulerFixture, "partners_ofEqualDemand_shareEqually")
+TEST_CASE_METHOD(SchedulerFixture, "partner_otherSubmitsHigherPriority_isNotStarved")
 {
     this->addWorker("w1", "r1", 20000);
-    const std::uint64_t loud = this->submit("loud", wire::JobKind::Batch, 100, 1000, 1000);
-    const std::uint64_t calm = this->submit("calm", wire::JobKind::Batch, 1, 1000, 0);
-    std::uint64_t calmPlaced = 0;
+    const std::uint64_t highPriority = this->submit("loud", wire::JobKind::Batch, 100, 1000, 1000);
+    const std::uint64_t lowPriority = this->submit("calm", wire::JobKind::Batch, 1, 1000, 0);
+    std::uint64_t lowPriorityPlaced = 0;
     for (int number = 0; number < 30; ++number) {
         this->submit("calm", wire::JobKind::Batch, 1, 1000, 0);
     }
     this->schedule();
     for (const auto &[id, job] : this->ledger.jobs()) {
-        calmPlaced += job.record().partner == "calm" ? job.count(wire::TaskState::Placed) : 0;
+        lowPriorityPlaced += job.record().partner == "calm" ? job.count(wire::TaskState::Placed) : 0;
     }
-    // The loud partner's priority orders only its own work.
-    REQUIRE(this->placed(calm) == 1);
-    REQUIRE(calmPlaced > 0);
-    REQUIRE(this->placed(loud) + calmPlaced == 20);
+    // The priority of the high-priority partner only orders that partner's own jobs.
+    REQUIRE(this->placed(lowPriority) == 1);
+    REQUIRE(lowPriorityPlaced > 0);
+    REQUIRE(this->placed(highPriority) + lowPriorityPlaced == 20);
 }
 
-TEST_CASE_METHOD(SchedulerFixture, "quota_reached_holdsPartnerBackAndSaysSo")
+TEST_CASE_METHOD(SchedulerFixture, "quota_reached_limitsPartnerAndExplainsWait")
 {
     this->addWorker("w1", "r1", 10000);
     this->scheduler.setQuotas({{"p", 0.5}});
@@ -137,7 +137,7 @@
     REQUIRE(this->scheduler.explain(this->ledger, *this->ledger.findJob(batch), 2) == wire::WaitReason::OverQuota);
 }
 
-TEST_CASE_METHOD(SchedulerFixture, "worker_overfilledCommand_isRefusedByLedger")
+TEST_CASE_METHOD(SchedulerFixture, "worker_commandExceedsCapacity_isRejectedByLedger")
 {
     this->addWorker("w1", "r1", 1000);
     const std::uint64_t first = this->submit("p", wire::JobKind::Batch, 2, 600);
