--- a/testing/caller.cpp
+++ b/testing/caller.cpp
@@ -1,4 +1,4 @@
-// Stand-in of callers.
+// Stand-in for callers.
 
 #include "testing/caller.h"
 
@@ -18,7 +18,7 @@
 
 constexpr std::string_view prefix = "/v1/quick";
 
-void note(const CallerOptions &options, const std::string &target, const http::TransferResult &result, CallerResult &total)
+void recordResult(const CallerOptions &options, const std::string &target, const http::TransferResult &result, CallerResult &total)
 {
     std::string outcome(result.response.header(instance::outcomeHeader));
     if (!result.isComplete) {
@@ -60,27 +60,27 @@
 {
     CallerResult total;
     http::TransferPool pool;
-    std::size_t begun = 0;
-    std::size_t ended = 0;
+    std::size_t startedCount = 0;
+    std::size_t endedCount = 0;
     const Timestamp start = controlNow();
-    while (ended < options.requests) {
-        while (begun < options.requests && begun - ended < options.concurrency) {
-            const std::string target = absl::StrReplaceAll(options.target, {{"{n}", absl::StrCat(begun)}});
+    while (endedCount < options.requests) {
+        while (startedCount < options.requests && startedCount - endedCount < options.concurrency) {
+            const std::string target = absl::StrReplaceAll(options.target, {{"{n}", absl::StrCat(startedCount)}});
             http::OutgoingRequest request;
             request.method = options.method;
-            request.url = absl::StrCat("http://", options.servers[begun % options.servers.size()], target);
+            request.url = absl::StrCat("http://", options.servers[startedCount % options.servers.size()], target);
             for (const auto &[name, value] : options.headers) {
-                request.headers.emplace_back(name, absl::StrReplaceAll(value, {{"{n}", absl::StrCat(begun)}}));
+                request.headers.emplace_back(name, absl::StrReplaceAll(value, {{"{n}", absl::StrCat(startedCount)}}));
             }
             request.body = options.body;
             request.timeout = options.timeout;
             const Timestamp sent = controlNow();
             pool.start(std::move(request), [&, target, sent](const http::TransferResult &result) {
                 total.times.push_back(controlNow() - sent);
-                note(options, target, result, total);
-                ++ended;
+                recordResult(options, target, result, total);
+                ++endedCount;
             });
-            ++begun;
+            ++startedCount;
         }
         pool.run(absl::Milliseconds(50));
     }
--- a/testing/caller.h
+++ b/testing/caller.h
@@ -1,4 +1,4 @@
-// Stand-in of callers: sends quick requests at a bounded concurrency and notes how each one ended.
+// Stand-in for callers: sends quick requests with bounded concurrency and records the outcome of each.
 //
 // Thread safety: none; one thread.
 
@@ -17,9 +17,9 @@
 {
 
 struct CallerOptions {
-    /** `address:port` of entry instances, taken in turn. */
+    /** `address:port` of entry instances, used round-robin. */
     std::vector<std::string> servers;
-    /** Path and query; `{n}` becomes the request's number. */
+    /** Path and query; `{n}` is replaced by the request's number. */
     std::string target = "/v1/quick/reading?n={n}";
     std::string method = "GET";
     http::Headers headers;
@@ -27,19 +27,19 @@
     std::size_t requests = 100;
     std::size_t concurrency = 8;
     Duration timeout = absl::Seconds(10);
-    /** The worker's answer must have the target below the quick prefix in it. */
+    /** Whether the worker's answer must contain the target without the quick prefix. */
     bool checkAnswer = true;
 };
 
 struct CallerResult {
-    /** By outcome header; `no-answer` if the entry itself gave none. */
+    /** Counts by outcome header; `no-answer` if the entry did not respond. */
     std::map<std::string, std::size_t> outcomes;
     std::vector<Duration> times;
-    /** Answers that were not the one to the request. */
+    /** Answers that belong to another request. */
     std::size_t wrongAnswers = 0;
-    /** Answers `not-run` without a time to come back. */
+    /** Answers `not-run` with status 503 that lack a Retry-After header. */
     std::size_t withoutRetryAfter = 0;
-    /** Request ids of answers that say `not-run`. */
+    /** Ids of the requests that were answered `not-run`. */
     std::vector<std::string> notRunIds;
     Duration elapsed;
 
--- a/testing/channel.cpp
+++ b/testing/channel.cpp
@@ -1,4 +1,4 @@
-// An HTTP/1.1 connection of a caller.
+// A persistent HTTP/1.1 connection of a caller.
 
 #include "testing/channel.h"
 
@@ -21,10 +21,10 @@
 namespace
 {
 
-constexpr Duration connectPatience = absl::Seconds(1);
+constexpr Duration connectTimeout = absl::Seconds(1);
 
-/** Reads the status and the body's length once the head is whole. */
-bool isWhole(const std::string &received, Reply &reply, bool &closes)
+/** Parses the status and the body; false until the response is complete. */
+bool parseIfComplete(const std::string &received, Reply &reply, bool &closes)
 {
     const std::size_t head = received.find("\r\n\r\n");
     if (head == std::string::npos) {
@@ -80,15 +80,15 @@
     if (::connect(this->socket, address.pointer(), address.size) == 0) {
         return true;
     }
-    int problem = errno;
-    socklen_t size = sizeof(problem);
-    if (problem == EINPROGRESS && this->waitFor(POLLOUT, controlNow() + connectPatience)) {
-        ::getsockopt(this->socket, SOL_SOCKET, SO_ERROR, &problem, &size);
+    int error = errno;
+    socklen_t size = sizeof(error);
+    if (error == EINPROGRESS && this->waitFor(POLLOUT, controlNow() + connectTimeout)) {
+        ::getsockopt(this->socket, SOL_SOCKET, SO_ERROR, &error, &size);
     }
-    return problem == 0;
+    return error == 0;
 }
 
-Reply Channel::call(const std::string &method, const std::string &path, const std::string &body, Duration patience)
+Reply Channel::call(const std::string &method, const std::string &path, const std::string &body, Duration timeout)
 {
     Reply reply;
     if (this->socket < 0 && !this->open()) {
@@ -100,7 +100,7 @@
         absl::StrAppend(&request, name, ": ", value, "\r\n");
     }
     absl::StrAppend(&request, "\r\n", body);
-    reply.ending = this->exchange(request, controlNow() + patience, reply);
+    reply.ending = this->exchange(request, controlNow() + timeout, reply);
     reply.endedAt = controlNow();
     if (reply.ending != Ending::Answered) {
         reply.status = 0;
@@ -111,14 +111,14 @@
 
 Ending Channel::exchange(const std::string &request, Timestamp end, Reply &reply)
 {
-    // Requests are small: the kernel takes one whole, or the connection is stuck already.
+    // Requests are small: the kernel accepts all bytes of one at once, unless the connection is already stalled.
     reply.sentAt = controlNow();
     if (::send(this->socket, request.data(), request.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(request.size())) {
         return Ending::Broken;
     }
     std::string received;
     bool closes = false;
-    while (!isWhole(received, reply, closes)) {
+    while (!parseIfComplete(received, reply, closes)) {
         std::array<char, 16384> chunk{};
         const ssize_t count = ::recv(this->socket, chunk.data(), chunk.size(), 0);
         if (count == 0 || (count < 0 && errno != EAGAIN)) {
--- a/testing/channel.h
+++ b/testing/channel.h
@@ -1,5 +1,5 @@
-// An HTTP/1.1 connection of a caller that is kept open for as long as the other side keeps it, and tells exactly how each
-// call ended: a library would open another connection behind the caller's back.
+// An HTTP/1.1 connection of a caller that stays open until the server closes it, and that reports exactly how each call
+// ended. An HTTP library would hide this: it reconnects silently when a connection breaks.
 //
 // Thread safety: none; one thread, one call at a time.
 
@@ -19,7 +19,7 @@
     Answered,
     /** Nothing was sent. */
     NotConnected,
-    /** The connection ended before the whole answer. */
+    /** The connection ended before the answer was complete. */
     Broken,
     TimedOut
 };
@@ -36,14 +36,14 @@
 class Channel
 {
 public:
-    /** @param headers are sent with each call; `Host` among them */
+    /** @param headers sent with each call, including `Host` */
     Channel(Endpoint server, http::Headers headers);
     ~Channel();
 
     Channel(const Channel &) = delete;
     Channel &operator=(const Channel &) = delete;
 
-    Reply call(const std::string &method, const std::string &path, const std::string &body, Duration patience);
+    Reply call(const std::string &method, const std::string &path, const std::string &body, Duration timeout);
 
 private:
     bool open();
--- a/testing/checker.cpp
+++ b/testing/checker.cpp
@@ -1,4 +1,4 @@
-// Checks of promises from the logs of stand-in workers.
+// Checks the logs of stand-in workers for violations of the scheduler's guarantees.
 
 #include "testing/checker.h"
 
@@ -20,13 +20,13 @@
 namespace
 {
 
-constexpr std::int64_t endless = std::numeric_limits<std::int64_t>::max();
-/** A worker that says it leaves gets no new work after this. */
+constexpr std::int64_t notEnded = std::numeric_limits<std::int64_t>::max();
+/** A draining worker must receive no new work once this time has passed since it announced the drain. */
 constexpr std::int64_t drainGraceMicros = 2'000'000;
 
 struct Run {
     std::int64_t start = 0;
-    std::int64_t end = endless;
+    std::int64_t end = notEnded;
     std::uint64_t epoch = 0;
     std::string worker;
     wire::Resources need;
@@ -34,35 +34,35 @@
 
 using TaskName = std::tuple<std::string, std::uint64_t, std::uint32_t>;
 
-struct Facts {
+struct Observations {
     std::map<TaskName, std::vector<Run>> runs;
     std::map<std::string, std::size_t> runsByKey;
     std::set<std::string> requestIds;
 };
 
-void endAll(Facts &facts, const std::string &worker, std::int64_t at)
+void markAllEnded(Observations &observations, const std::string &worker, std::int64_t at)
 {
-    for (auto &[task, runs] : facts.runs) {
+    for (auto &[task, runs] : observations.runs) {
         for (Run &run : runs) {
-            run.end = run.worker == worker && run.end == endless ? at : run.end;
+            run.end = run.worker == worker && run.end == notEnded ? at : run.end;
         }
     }
 }
 
-void readLog(const WorkerLog &log, Facts &facts, CheckReport &report)
+void readLog(const WorkerLog &log, Observations &observations, CheckReport &report)
 {
     std::ifstream stream(log.path);
     std::string line;
-    std::int64_t drainedAt = endless;
+    std::int64_t drainedAt = notEnded;
     while (std::getline(stream, line)) {
-        std::istringstream words(line);
+        std::istringstream fields(line);
         std::int64_t at = 0;
         std::string event;
-        words >> at >> event;
+        fields >> at >> event;
         if (event == "drain") {
             drainedAt = at;
         } else if (event == "killed") {
-            endAll(facts, log.worker, at);
+            markAllEnded(observations, log.worker, at);
         } else if (event == "task-start") {
             Run run;
             std::uint64_t job = 0;
@@ -70,43 +70,43 @@
             std::uint64_t processors = 0;
             std::uint64_t memory = 0;
             std::uint64_t accelerators = 0;
-            words >> job >> index >> run.epoch >> processors >> memory >> accelerators;
+            fields >> job >> index >> run.epoch >> processors >> memory >> accelerators;
             run.start = at;
             run.worker = log.worker;
             run.need = wire::Resources(processors, memory, accelerators);
-            facts.runs[{log.dataCentre, job, index}].push_back(run);
+            observations.runs[{log.dataCentre, job, index}].push_back(run);
             ++report.taskStarts;
         } else if (event == "task-end") {
             std::uint64_t job = 0;
             std::uint32_t index = 0;
             std::uint64_t epoch = 0;
-            words >> job >> index >> epoch;
-            for (Run &run : facts.runs[{log.dataCentre, job, index}]) {
-                run.end = run.epoch == epoch && run.worker == log.worker && run.end == endless ? at : run.end;
+            fields >> job >> index >> epoch;
+            for (Run &run : observations.runs[{log.dataCentre, job, index}]) {
+                run.end = run.epoch == epoch && run.worker == log.worker && run.end == notEnded ? at : run.end;
             }
         } else if (event == "request") {
             std::string id;
             std::string key;
             std::uint32_t busy = 0;
-            words >> id >> key >> busy;
-            // The id that callers see is without the attempt's number.
-            facts.requestIds.insert(id.substr(0, id.find('.')));
-            facts.runsByKey[key] += key == "0" ? 0 : 1;
+            fields >> id >> key >> busy;
+            // The id that callers see lacks the attempt's number.
+            observations.requestIds.insert(id.substr(0, id.find('.')));
+            observations.runsByKey[key] += key == "0" ? 0 : 1;
             ++report.requests;
             if (busy > log.slots) {
-                report.violations.push_back(absl::StrCat(log.worker, " had ", busy, " requests at a time, over its ", log.slots, " slots"));
+                report.violations.push_back(absl::StrCat(log.worker, " had ", busy, " concurrent requests, more than its ", log.slots, " slots"));
             }
         }
         const bool isNewWork = event == "task-start" || event == "request";
-        if (isNewWork && drainedAt != endless && at > drainedAt + drainGraceMicros) {
-            report.violations.push_back(absl::StrCat(log.worker, " got new work ", (at - drainedAt) / 1000, " ms after it said that it leaves"));
+        if (isNewWork && drainedAt != notEnded && at > drainedAt + drainGraceMicros) {
+            report.violations.push_back(absl::StrCat(log.worker, " received new work ", (at - drainedAt) / 1000, " ms after it announced its drain"));
         }
     }
 }
 
-void checkTwoPlaces(const Facts &facts, CheckReport &report)
+void checkConcurrentRuns(const Observations &observations, CheckReport &report)
 {
-    for (const auto &[task, runs] : facts.runs) {
+    for (const auto &[task, runs] : observations.runs) {
         std::vector<Run> sorted = runs;
         std::sort(sorted.begin(), sorted.end(), [](const Run &left, const Run &right) { return left.start < right.start; });
         for (std::size_t index = 1; index < sorted.size(); ++index) {
@@ -121,17 +121,17 @@
                                                          sorted[index - 1].worker,
                                                          " and ",
                                                          sorted[index].worker,
-                                                         " at a time"));
+                                                         " at the same time"));
             }
         }
     }
 }
 
-void checkCapacity(const WorkerLog &log, const Facts &facts, CheckReport &report)
+void checkCapacity(const WorkerLog &log, const Observations &observations, CheckReport &report)
 {
-    // Ends come before starts at the same moment.
+    // At the same time, ends sort before starts: a run may begin when the capacity it needs is released.
     std::vector<std::tuple<std::int64_t, bool, wire::Resources>> changes;
-    for (const auto &[task, runs] : facts.runs) {
+    for (const auto &[task, runs] : observations.runs) {
         for (const Run &run : runs) {
             if (run.worker == log.worker) {
                 changes.emplace_back(run.start, true, run.need);
@@ -146,7 +146,7 @@
     for (const auto &[at, isStart, need] : changes) {
         used = isStart ? ledger::plus(used, need) : ledger::minus(used, need);
         if (!ledger::fits(used, log.capacity)) {
-            report.violations.push_back(absl::StrCat(log.worker, " ran tasks over its capacity"));
+            report.violations.push_back(absl::StrCat(log.worker, " ran tasks beyond its capacity"));
             return;
         }
     }
@@ -157,22 +157,22 @@
 CheckReport checkLogs(const std::vector<WorkerLog> &logs, const std::vector<std::string> &notRunIds)
 {
     CheckReport report;
-    Facts facts;
+    Observations observations;
     for (const WorkerLog &log : logs) {
-        readLog(log, facts, report);
+        readLog(log, observations, report);
     }
-    checkTwoPlaces(facts, report);
+    checkConcurrentRuns(observations, report);
     for (const WorkerLog &log : logs) {
-        checkCapacity(log, facts, report);
+        checkCapacity(log, observations, report);
     }
-    for (const auto &[key, count] : facts.runsByKey) {
+    for (const auto &[key, count] : observations.runsByKey) {
         if (count > 1) {
             report.violations.push_back(absl::StrCat("the request with key ", key, " ran ", count, " times"));
         }
     }
     for (const std::string &id : notRunIds) {
-        if (facts.requestIds.contains(id)) {
-            report.violations.push_back(absl::StrCat("request ", id, " was answered not-run and stands in a worker's log"));
+        if (observations.requestIds.contains(id)) {
+            report.violations.push_back(absl::StrCat("request ", id, " was answered not-run but appears in a worker's log"));
         }
     }
     return report;
--- a/testing/checker.h
+++ b/testing/checker.h
@@ -1,4 +1,4 @@
-// Checks of promises from the logs of stand-in workers (see testing/worker.h).
+// Checks the logs of stand-in workers (see testing/worker.h) for violations of the scheduler's guarantees.
 //
 // Thread safety: free functions without state.
 
@@ -14,7 +14,7 @@
 namespace paddlepier::testing
 {
 
-/** What a worker said it has, and where its log is. */
+/** The capacity that a worker announced, and the path of its log. */
 struct WorkerLog {
     std::string worker;
     std::string dataCentre;
@@ -23,14 +23,14 @@
     std::uint32_t slots = 0;
 };
 
-/** Broken promises in words; empty if all held. */
+/** Descriptions of the violations found; none if every guarantee held. */
 struct CheckReport {
     std::vector<std::string> violations;
     std::size_t taskStarts = 0;
     std::size_t requests = 0;
 };
 
-/** @param notRunIds ids of requests that were answered `not-run`: none may stand in a log */
+/** @param notRunIds ids of requests that were answered `not-run`; none of them may appear in a worker's log */
 CheckReport checkLogs(const std::vector<WorkerLog> &logs, const std::vector<std::string> &notRunIds);
 
 } // namespace paddlepier::testing
--- a/testing/demo.cpp
+++ b/testing/demo.cpp
@@ -1,7 +1,7 @@
-// Program: a whole small cell on loopback, used as its users would, with one instance killed on the way.
+// Program: runs a small but complete cell on loopback, uses it as callers and operators do, and kills one instance meanwhile.
 //
-// Starts six entry instances in three data centres and twelve stand-in workers, sends quick requests, submits the jobs of
-// `examples/`, kills one instance, and prints what came of it. Exit status 0 means that every promise checked held.
+// Starts six entry instances in three data centres and twelve stand-in workers, submits the jobs of `examples/`, sends quick
+// requests, kills one instance, and prints the results. Exit status 0 means that every checked guarantee held.
 
 #include "paddlepier/cli/jobfile.h"
 #include "paddlepier/cli/tables.h"
@@ -93,10 +93,10 @@
               {{"atlanta-1", {"atlanta-1-a", "atlanta-1-b", "atlanta-2-a"}},
                {"atlanta-2", {"atlanta-2-a", "atlanta-2-b", "atlanta-1-b"}},
                {"emilia-1", {"emilia-1-a", "emilia-1-b", "atlanta-2-b"}}});
-    std::vector<std::string> problems;
-    const auto expect = [&problems](bool held, const std::string &what) {
+    std::vector<std::string> violations;
+    const auto expect = [&violations](bool held, const std::string &what) {
         if (!held) {
-            problems.push_back(what);
+            violations.push_back(what);
         }
     };
     std::cout << "starting 6 entry instances in 3 data centres and 12 stand-in workers" << std::endl;
@@ -159,25 +159,25 @@
     }
     expect(readings.count("completed") > 0 && checks.count("completed") > 0 && signOffs.count("completed") > 0, "quick requests were completed");
     const CheckReport report = cell.check(notRun);
-    problems.insert(problems.end(), report.violations.begin(), report.violations.end());
+    violations.insert(violations.end(), report.violations.begin(), report.violations.end());
     std::cout << "\nchecked " << report.taskStarts << " task starts and " << report.requests << " requests in the workers' logs\n";
-    for (const std::string &problem : problems) {
-        std::cout << "NOT HELD: " << problem << "\n";
+    for (const std::string &violation : violations) {
+        std::cout << "NOT HELD: " << violation << "\n";
     }
-    std::cout << (problems.empty() ? "every promise checked held\n" : "");
-    return problems.empty() ? 0 : 1;
+    std::cout << (violations.empty() ? "every promise checked held\n" : "");
+    return violations.empty() ? 0 : 1;
 }
 
 } // namespace
 
-int main(int count, char **words)
+int main(int argc, char **argv)
 {
-    if (count != 3) {
+    if (argc != 3) {
         std::cerr << "usage: demo PROGRAM-FOLDER EXAMPLES-FOLDER\n";
         return 2;
     }
     try {
-        return runDemo(words[1], words[2]);
+        return runDemo(argv[1], argv[2]);
     } catch (const std::exception &error) {
         std::cerr << "demo: " << error.what() << "\n";
         return 1;
--- a/testing/endtoend_test.cpp
+++ b/testing/endtoend_test.cpp
@@ -1,4 +1,4 @@
-// End-to-end tests over real processes: entry instances, stand-in workers and callers on loopback.
+// End-to-end tests with real processes: entry instances, stand-in workers and callers on loopback.
 
 #include "testing/caller.h"
 #include "testing/harness.h"
@@ -20,7 +20,7 @@
 namespace
 {
 
-/** Short times, so that the tests wait little; the ratios are those of the defaults. */
+/** Shorter than the defaults, with the same ratios, so that the tests run quickly. */
 constexpr const char *shortTimes = R"([timing]
 announceMillis = 200
 workerSilenceMillis = 1000
@@ -47,7 +47,7 @@
     return spec;
 }
 
-/** One data centre with three replicas and, if asked for, a second one with its own ledger. */
+/** A data centre with three replicas, and a second one with a separate ledger that tests start if they need it. */
 class CellFixture
 {
 protected:
@@ -81,7 +81,7 @@
         this->cell.startWorker(spec);
     }
 
-    /** Sends requests until one is completed: the entry then has shares. */
+    /** Sends requests until one is completed, which shows that the entry has shares. */
     bool waitServing(const std::string &id)
     {
         return waitUntil([&] { return this->send({id}, 1, "/v1/quick/warm?n={n}").count("completed") == 1; });
@@ -118,7 +118,7 @@
         return name;
     }
 
-    void requirePromises()
+    void requireNoViolations()
     {
         const CheckReport report = this->cell.check(this->notRunIds);
         for (const std::string &violation : report.violations) {
@@ -131,7 +131,7 @@
     std::vector<std::string> notRunIds;
 };
 
-/** Sends raw bytes and gives back what comes until the connection ends; optionally closes its own side first. */
+/** Sends raw bytes and returns all bytes received until the connection ends; with @p halfClose, closes the sending side first. */
 std::string sendRaw(const std::string &endpoint, const std::string &bytes, bool halfClose)
 {
     const Endpoint parsed = Endpoint::parse(endpoint).value();
@@ -148,8 +148,8 @@
     if (halfClose) {
         ::shutdown(connection, SHUT_WR);
     }
-    timeval patience{2, 0};
-    ::setsockopt(connection, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof(patience));
+    timeval timeout{2, 0};
+    ::setsockopt(connection, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
     std::string received;
     std::array<char, 4096> chunk{};
     ssize_t count = 0;
@@ -162,19 +162,19 @@
 
 } // namespace
 
-TEST_CASE_METHOD(CellFixture, "quick_throughAnyEntry_givesOwnWholeAnswer", "[e2e]")
+TEST_CASE_METHOD(CellFixture, "quick_throughAnyEntry_returnsCompleteAnswerToOwnRequest", "[e2e]")
 {
     this->startDataCentre(3);
     for (const char *id : {"a1", "a2", "a3"}) {
-        REQUIRE(this->waitServing(id)); // An entry that was just started has no shares yet.
+        REQUIRE(this->waitServing(id)); // A newly started entry has no shares yet.
     }
     const CallerResult result = this->send({"a1", "a2", "a3"}, 600, "/v1/quick/reading?hydrant={n}&delay=2", {}, 12);
     REQUIRE(result.count("completed") == 600);
     REQUIRE(result.wrongAnswers == 0);
-    this->requirePromises();
+    this->requireNoViolations();
 }
 
-TEST_CASE_METHOD(CellFixture, "quick_brokenBackendServers_neverPassForAnswers", "[e2e][proof]")
+TEST_CASE_METHOD(CellFixture, "quick_malformedBackendAnswers_areNeverReturned", "[e2e][proof]")
 {
     this->startDataCentre(2);
     this->startWorker("cut", "truncate");
@@ -182,23 +182,23 @@
     this->startWorker("doubled", "doubled");
     REQUIRE(this->cell.waitReady("a1", 5));
     for (const char *id : {"a1", "a2", "a3"}) {
-        REQUIRE(this->waitServing(id)); // An entry that was just started has no shares yet.
+        REQUIRE(this->waitServing(id)); // A newly started entry has no shares yet.
     }
     const CallerResult idempotent = this->send({"a1", "a2"}, 300, "/v1/quick/reading?hydrant={n}");
     REQUIRE(idempotent.count("completed") > 200);
     REQUIRE(idempotent.wrongAnswers == 0);
-    // Until its next shares come an entry doesn't know servers that have just joined, and passes no request to them.
-    const bool hasMetThem = waitUntil([this] {
+    // An entry sends no requests to servers that have just joined until it receives its next shares.
+    const bool newServersGetRequests = waitUntil([this] {
         const CallerResult checked = this->send({"a3"}, 300, "/v1/quick/reading?hydrant={n}", {{"Paddlepier-Idempotent", "false"}});
         REQUIRE(checked.wrongAnswers == 0);
         REQUIRE(checked.count("completed") + checked.count("unknown") + checked.count("not-run") == 300);
         return checked.count("unknown") > 0;
     });
-    REQUIRE(hasMetThem);
-    this->requirePromises();
+    REQUIRE(newServersGetRequests);
+    this->requireNoViolations();
 }
 
-TEST_CASE_METHOD(CellFixture, "quick_noShareHere_hopsToOtherDataCentre", "[e2e]")
+TEST_CASE_METHOD(CellFixture, "quick_noLocalShare_hopsToOtherDataCentre", "[e2e]")
 {
     this->cell.startAll();
     this->startWorker("far", "none", "dc-2");
@@ -209,7 +209,7 @@
     REQUIRE(result.wrongAnswers == 0);
 }
 
-TEST_CASE_METHOD(CellFixture, "quick_overload_givesUpAtOnceWithRetryAfter", "[e2e][proof]")
+TEST_CASE_METHOD(CellFixture, "quick_overload_isRejectedImmediatelyWithRetryAfter", "[e2e][proof]")
 {
     this->startDataCentre(1);
     REQUIRE(this->waitServing("a1"));
@@ -217,10 +217,10 @@
     REQUIRE(result.count("not-run") > 0);
     REQUIRE(result.withoutRetryAfter == 0);
     REQUIRE(result.count("no-answer") == 0);
-    this->requirePromises();
+    this->requireNoViolations();
 }
 
-TEST_CASE_METHOD(CellFixture, "onceOnly_sameKeyEverywhere_runsOnce", "[e2e][proof]")
+TEST_CASE_METHOD(CellFixture, "onceOnly_sameKeyAtSeveralEntries_runsOnce", "[e2e][proof]")
 {
     this->startDataCentre(3);
     this->cell.startEntry("b1");
@@ -244,10 +244,10 @@
     const http::Response reused =
         http::fetch({"POST", absl::StrCat("http://", this->cell.httpOf("a1"), "/v1/quick/file?key=78"), key, "other", absl::Seconds(5), true}).response;
     REQUIRE(reused.status == 409);
-    this->requirePromises();
+    this->requireNoViolations();
 }
 
-TEST_CASE_METHOD(CellFixture, "onceOnly_entriesKilledOnTheWay_neverRunsTwice", "[e2e][proof]")
+TEST_CASE_METHOD(CellFixture, "onceOnly_entriesKilledDuringRequests_neverRunsTwice", "[e2e][proof]")
 {
     this->startDataCentre(3);
     this->cell.startEntry("b1");
@@ -266,10 +266,10 @@
         REQUIRE(this->cell.waitReady("a1", 3));
         this->send({"a1", "a2", "a3"}, 60, target, {{"Idempotency-Key", absl::StrCat("sign-off-", round, "-{n}")}}, 10);
     }
-    this->requirePromises();
+    this->requireNoViolations();
 }
 
-TEST_CASE_METHOD(CellFixture, "jobs_ofAllKinds_runToTheirGoal", "[e2e]")
+TEST_CASE_METHOD(CellFixture, "jobs_ofAllKinds_reachExpectedState", "[e2e]")
 {
     this->startDataCentre(3);
     const std::string batch = this->cell.submit("a1", "north", batchSpec(20, "millis=50"), "batch-1");
@@ -293,10 +293,10 @@
     wire::JobSpecT huge = batchSpec(1, "");
     huge.resources = wire::Resources(900000, 512, 0);
     REQUIRE_THROWS_AS(this->cell.submit("a1", "north", huge, "huge-1"), Error);
-    this->requirePromises();
+    this->requireNoViolations();
 }
 
-TEST_CASE_METHOD(CellFixture, "jobs_leaderKilledAndFrozen_neverRunTwiceAndGoOn", "[e2e][proof]")
+TEST_CASE_METHOD(CellFixture, "jobs_leaderKilledAndFrozen_completeWithoutRunningTwice", "[e2e][proof]")
 {
     this->startDataCentre(3);
     const std::string before = this->cell.submit("a2", "north", batchSpec(60, "millis=400"), "before");
@@ -305,17 +305,17 @@
     REQUIRE(this->cell.waitForState(first == "a1" ? "a2" : "a1", "north", before, wire::TaskState::Succeeded));
     this->cell.startEntry(first);
     const std::string second = this->leader();
-    // Frozen for longer than every lease, and then back as if nothing had been.
+    // Frozen for longer than every lease, then resumed: the old leader must not act on its outdated state.
     const std::string during = this->cell.submit(second, "north", batchSpec(60, "millis=400"), "during");
     this->cell.signalEntry(second, SIGSTOP);
     const std::string other = second == "a1" ? "a2" : "a1";
     REQUIRE(this->cell.waitForState(other, "north", during, wire::TaskState::Succeeded));
     this->cell.signalEntry(second, SIGCONT);
     REQUIRE(this->cell.waitForState(second, "north", during, wire::TaskState::Succeeded));
-    this->requirePromises();
+    this->requireNoViolations();
 }
 
-TEST_CASE_METHOD(CellFixture, "jobs_leaderCutOff_neverRunTwiceAndGoOn", "[e2e][proof]")
+TEST_CASE_METHOD(CellFixture, "jobs_leaderPartitioned_completeWithoutRunningTwice", "[e2e][proof]")
 {
     this->startDataCentre(3);
     const std::string first = this->leader();
@@ -323,14 +323,14 @@
     const std::string job = this->cell.submit(other, "north", batchSpec(120, "millis=300"), "cut");
     this->cell.cutOff(first, true);
     REQUIRE(this->cell.waitForState(other, "north", job, wire::TaskState::Succeeded));
-    // The one that is cut off neither answers from its old state nor takes anything.
+    // The partitioned leader must neither answer from its outdated state nor accept a job.
     REQUIRE_THROWS_AS(this->cell.submit(first, "north", batchSpec(1, ""), "refused"), Error);
     this->cell.cutOff(first, false);
     REQUIRE(this->cell.waitForState(first, "north", job, wire::TaskState::Succeeded));
-    this->requirePromises();
+    this->requireNoViolations();
 }
 
-TEST_CASE_METHOD(CellFixture, "dataCentre_cutOff_servesWhatItCanAndFollowsAfterwards", "[e2e][proof]")
+TEST_CASE_METHOD(CellFixture, "dataCentre_partitioned_servesLocallyAndCatchesUpAfterwards", "[e2e][proof]")
 {
     this->cell.startAll();
     this->startWorker("w0");
@@ -366,7 +366,7 @@
             return false;
         }
     }));
-    this->requirePromises();
+    this->requireNoViolations();
 }
 
 TEST_CASE_METHOD(CellFixture, "ledger_diskLostTwice_losesNoJob", "[e2e][proof]")
@@ -380,7 +380,7 @@
         this->cell.killEntry(victim);
         this->cell.loseDisk(victim);
         this->cell.startEntry(victim);
-        // The next loss comes right after the newcomer votes.
+        // The next disk is lost as soon as the replacement votes.
         REQUIRE(waitUntil([&] {
             std::ifstream output(this->cell.outputPath(this->leader()));
             const std::string text((std::istreambuf_iterator<char>(output)), std::istreambuf_iterator<char>());
@@ -392,10 +392,10 @@
     for (const std::string &job : jobs) {
         REQUIRE(this->cell.waitForState("a2", "north", job, wire::TaskState::Succeeded));
     }
-    this->requirePromises();
+    this->requireNoViolations();
 }
 
-TEST_CASE_METHOD(CellFixture, "worker_killedAndSilent_itsTasksRunElsewhereOnce", "[e2e][proof]")
+TEST_CASE_METHOD(CellFixture, "worker_killed_tasksRunElsewhereOnce", "[e2e][proof]")
 {
     this->startDataCentre(3);
     wire::JobSpecT service = batchSpec(3, "");
@@ -408,10 +408,10 @@
         const wire::ExplainReplyT reply = this->cell.explain("a1", "north", job);
         return reply.summary->running == 3 && reply.tasks[0]->worker != victim;
     }));
-    this->requirePromises();
+    this->requireNoViolations();
 }
 
-TEST_CASE_METHOD(CellFixture, "worker_draining_getsNoNewWork", "[e2e][proof]")
+TEST_CASE_METHOD(CellFixture, "worker_draining_receivesNoNewWork", "[e2e][proof]")
 {
     this->startDataCentre(2);
     WorkerSpec leaving;
@@ -430,10 +430,10 @@
     const CallerResult result = this->send({"a1", "a2", "a3"}, 3000, "/v1/quick/reading?hydrant={n}&delay=10", {}, 5);
     jobs.join();
     REQUIRE(result.count("no-answer") == 0);
-    this->requirePromises();
+    this->requireNoViolations();
 }
 
-TEST_CASE_METHOD(CellFixture, "instance_plannedStop_cutsOffNothing", "[e2e][proof]")
+TEST_CASE_METHOD(CellFixture, "instance_gracefulStop_completesOpenRequests", "[e2e][proof]")
 {
     this->startDataCentre(3);
     REQUIRE(this->waitServing("a1"));
@@ -446,10 +446,10 @@
     REQUIRE(result.count("no-answer") == 0);
     REQUIRE(result.count("completed") > 0);
     REQUIRE(this->cell.waitEntry("a1") == 0);
-    this->requirePromises();
+    this->requireNoViolations();
 }
 
-TEST_CASE_METHOD(CellFixture, "configuration_racingOperators_oneWinsAndAllInstancesFollow", "[e2e][proof]")
+TEST_CASE_METHOD(CellFixture, "configuration_concurrentChanges_oneSucceedsAndAllInstancesApplyIt", "[e2e][proof]")
 {
     this->cell.startAll();
     const auto version = [this](const std::string &id) {
@@ -484,7 +484,7 @@
     }
     REQUIRE(wins == 10);
     REQUIRE(conflicts == 20);
-    // A whole instance is killed, loses its disk, and comes back while the version moves on.
+    // An instance is killed, loses its disk, and restarts while the version advances.
     this->cell.killEntry("a2");
     this->cell.loseDisk("a2");
     REQUIRE(waitUntil([&] {
@@ -507,7 +507,7 @@
     REQUIRE(this->cell.change("a1", 5, "[partners.north]\nquotaPercent = 50\n", "after-loss").unchanged);
 }
 
-TEST_CASE_METHOD(CellFixture, "partners_otherPartnersJobs_areOutOfReach", "[e2e]")
+TEST_CASE_METHOD(CellFixture, "partners_jobsOfOtherPartner_areNotAccessible", "[e2e]")
 {
     this->startDataCentre(1);
     this->cell.startEntry("s1");
@@ -523,7 +523,7 @@
     REQUIRE(this->cell.call<wire::ListReplyT>("a1", rpc::Method::List, wire::ListRequestT(), "south").jobs.empty());
 }
 
-TEST_CASE_METHOD(CellFixture, "badInput_ofEveryKind_getsTypedErrorAndHarmsNothing", "[e2e]")
+TEST_CASE_METHOD(CellFixture, "invalidInput_ofEachKind_getsTypedErrorAndLeavesServiceWorking", "[e2e]")
 {
     this->startDataCentre(1);
     const std::string token = Cell::operatorToken("north");
@@ -558,16 +558,16 @@
     REQUIRE(this->cell.waitForState("a1", "north", job, wire::TaskState::Succeeded));
 }
 
-TEST_CASE_METHOD(CellFixture, "settings_mistake_endsWithStatusTwoBeforeListening", "[e2e]")
+TEST_CASE_METHOD(CellFixture, "settings_unknownKey_exitsWithStatusTwoBeforeListening", "[e2e]")
 {
     const std::string path = this->cell.folder() + "/wrong.toml";
     std::ofstream(path) << "[instance]\nid = \"a\"\npartner = \"p\"\ndataCentre = \"d\"\nunknownKey = 1\n";
     for (const char *command : {"serve", "config"}) {
-        std::vector<std::string> words{programFolder() + "/paddlepier", command};
+        std::vector<std::string> arguments{programFolder() + "/paddlepier", command};
         const std::vector<std::string> rest =
             std::string(command) == "serve" ? std::vector<std::string>{"--config", path} : std::vector<std::string>{"check", path};
-        words.insert(words.end(), rest.begin(), rest.end());
-        Process process(words, this->cell.outputPath(command));
+        arguments.insert(arguments.end(), rest.begin(), rest.end());
+        Process process(arguments, this->cell.outputPath(command));
         REQUIRE(process.wait() == 2);
         std::ifstream output(this->cell.outputPath(command));
         std::string line;
--- a/testing/forwarder.cpp
+++ b/testing/forwarder.cpp
@@ -1,4 +1,4 @@
-// A TCP forwarder on loopback, with which a test disturbs a link.
+// A TCP forwarder on loopback through which tests inject link faults.
 
 #include "testing/forwarder.h"
 
@@ -23,8 +23,8 @@
 
 constexpr int pollMillis = 20;
 
-/** A sender that runs ahead of its receiver by more is no longer read. */
-constexpr std::size_t mostWaitingBytes = 1U << 20U;
+/** The forwarder stops reading from a sender while more than this waits for its receiver. */
+constexpr std::size_t maxBufferedBytes = 1U << 20U;
 
 sockaddr_in addressOf(const ForwarderEnd &end)
 {
@@ -47,18 +47,18 @@
     return socket;
 }
 
-/** Lets the kernel drop every segment that arrives for @p socket, before TCP sees it; or lets them in again. */
-void setDeaf(int socket, bool isDeaf)
+/** Makes the kernel drop every segment that arrives for @p socket before TCP processes it, or accept segments again. */
+void setDropIncoming(int socket, bool isDropping)
 {
     sock_filter dropAll{BPF_RET | BPF_K, 0, 0, 0};
     const sock_fprog program{1, &dropAll};
-    ::setsockopt(socket, SOL_SOCKET, isDeaf ? SO_ATTACH_FILTER : SO_DETACH_FILTER, &program, sizeof(program));
+    ::setsockopt(socket, SOL_SOCKET, isDropping ? SO_ATTACH_FILTER : SO_DETACH_FILTER, &program, sizeof(program));
 }
 
 void closeAsReset(int socket)
 {
-    const linger atOnce{1, 0};
-    ::setsockopt(socket, SOL_SOCKET, SO_LINGER, &atOnce, sizeof(atOnce));
+    const linger immediate{1, 0};
+    ::setsockopt(socket, SOL_SOCKET, SO_LINGER, &immediate, sizeof(immediate));
     ::close(socket);
 }
 
@@ -70,7 +70,7 @@
 }
 
 Forwarder::Forwarder(ForwarderEnd listenAt, ForwarderEnd forwardTo)
-    : own(std::move(listenAt))
+    : listenEnd(std::move(listenAt))
     , target(std::move(forwardTo))
 {
     this->thread = std::thread([this] { this->run(); });
@@ -104,21 +104,21 @@
     this->delay = time;
 }
 
-void Forwarder::setLost(Direction way, bool isLost)
+void Forwarder::setLoss(Direction direction, bool isLost)
 {
     const absl::MutexLock lock(&this->mutex);
-    this->lossByDirection[way] = isLost;
+    this->lossByDirection[direction] = isLost;
     for (const auto &[socket, state] : this->sockets) {
         this->applyLoss(socket, state.isIncoming);
     }
     if (this->listener >= 0) {
-        setDeaf(this->listener, this->lossByDirection[Direction::ToTarget] || this->lossByDirection[Direction::FromTarget]);
+        setDropIncoming(this->listener, this->lossByDirection[Direction::ToTarget] || this->lossByDirection[Direction::FromTarget]);
     }
 }
 
 void Forwarder::applyLoss(int socket, bool isIncoming)
 {
-    setDeaf(socket, this->lossByDirection[isIncoming ? Direction::ToTarget : Direction::FromTarget]);
+    setDropIncoming(socket, this->lossByDirection[isIncoming ? Direction::ToTarget : Direction::FromTarget]);
 }
 
 void Forwarder::resetAll()
@@ -131,7 +131,7 @@
 {
     const absl::MutexLock lock(&this->mutex);
     for (const auto &[socket, state] : this->sockets) {
-        setDeaf(socket, true);
+        setDropIncoming(socket, true);
         this->silenced.push_back(socket);
     }
     this->sockets.clear();
@@ -144,14 +144,14 @@
 
 void Forwarder::listen()
 {
-    this->listener = openSocket(this->own);
+    this->listener = openSocket(this->listenEnd);
     const int on = 1;
     ::setsockopt(this->listener, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
-    const sockaddr_in address = addressOf(this->own);
+    const sockaddr_in address = addressOf(this->listenEnd);
     if (::bind(this->listener, reinterpret_cast<const sockaddr *>(&address), sizeof(address)) != 0 || ::listen(this->listener, SOMAXCONN) != 0) {
-        throw InternalError("the forwarder can't listen");
+        throw InternalError("the forwarder cannot listen");
     }
-    setDeaf(this->listener, this->lossByDirection[Direction::ToTarget] || this->lossByDirection[Direction::FromTarget]);
+    setDropIncoming(this->listener, this->lossByDirection[Direction::ToTarget] || this->lossByDirection[Direction::FromTarget]);
 }
 
 void Forwarder::closeListener()
@@ -172,8 +172,8 @@
 void Forwarder::run()
 {
     while (!this->stopping) {
-        std::vector<pollfd> waiting;
-        int patience = pollMillis;
+        std::vector<pollfd> entries;
+        int timeout = pollMillis;
         {
             const absl::MutexLock lock(&this->mutex);
             if (this->isOpen() && this->listener < 0) {
@@ -184,29 +184,29 @@
             if (this->cut) {
                 this->closeAll(false);
             }
-            waiting = this->waitingFor(patience);
+            entries = this->pollEntries(timeout);
         }
-        ::poll(waiting.data(), waiting.size(), patience);
+        ::poll(entries.data(), entries.size(), timeout);
         const absl::MutexLock lock(&this->mutex);
-        for (const pollfd &entry : waiting) {
+        for (const pollfd &entry : entries) {
             this->handle(entry);
         }
     }
 }
 
-std::vector<pollfd> Forwarder::waitingFor(int &patienceMillis)
+std::vector<pollfd> Forwarder::pollEntries(int &timeoutMillis)
 {
     const Timestamp now = controlNow();
-    std::vector<pollfd> waiting{{this->listener, POLLIN, 0}};
+    std::vector<pollfd> entries{{this->listener, POLLIN, 0}};
     for (const auto &[socket, state] : this->sockets) {
-        const bool mayRead = !state.hasEnded && this->sockets.at(state.other).waitingBytes < mostWaitingBytes;
-        const bool mayWrite = !state.waiting.empty() && state.waiting.front().due <= now;
-        if (!state.waiting.empty() && !mayWrite) {
-            patienceMillis = std::min<int>(patienceMillis, 1 + static_cast<int>(absl::ToInt64Milliseconds(state.waiting.front().due - now)));
+        const bool mayRead = !state.hasEnded && this->sockets.at(state.other).bufferedBytes < maxBufferedBytes;
+        const bool mayWrite = !state.buffered.empty() && state.buffered.front().due <= now;
+        if (!state.buffered.empty() && !mayWrite) {
+            timeoutMillis = std::min<int>(timeoutMillis, 1 + static_cast<int>(absl::ToInt64Milliseconds(state.buffered.front().due - now)));
         }
-        waiting.push_back({socket, static_cast<short>((mayRead ? POLLIN : 0) | (mayWrite ? POLLOUT : 0)), 0});
+        entries.push_back({socket, static_cast<short>((mayRead ? POLLIN : 0) | (mayWrite ? POLLOUT : 0)), 0});
     }
-    return waiting;
+    return entries;
 }
 
 void Forwarder::handle(const pollfd &entry)
@@ -265,8 +265,8 @@
     const int to = state.other;
     state.hasEnded = count == 0;
     Socket &receiver = this->sockets.at(to);
-    receiver.waiting.push_back({controlNow() + this->delay, std::string(chunk.data(), static_cast<std::size_t>(count))});
-    receiver.waitingBytes += static_cast<std::size_t>(count);
+    receiver.buffered.push_back({controlNow() + this->delay, std::string(chunk.data(), static_cast<std::size_t>(count))});
+    receiver.bufferedBytes += static_cast<std::size_t>(count);
     if (!this->write(to)) {
         this->closePair(from, false);
     }
@@ -275,8 +275,8 @@
 bool Forwarder::write(int to)
 {
     Socket &state = this->sockets.at(to);
-    while (!state.waiting.empty() && state.waiting.front().due <= controlNow()) {
-        std::string &bytes = state.waiting.front().bytes;
+    while (!state.buffered.empty() && state.buffered.front().due <= controlNow()) {
+        std::string &bytes = state.buffered.front().bytes;
         if (bytes.empty()) {
             return false;
         }
@@ -284,10 +284,10 @@
         if (count < 0) {
             return errno == EAGAIN || errno == EINTR || errno == ENOTCONN;
         }
-        state.waitingBytes -= static_cast<std::size_t>(count);
+        state.bufferedBytes -= static_cast<std::size_t>(count);
         bytes.erase(0, static_cast<std::size_t>(count));
         if (bytes.empty()) {
-            state.waiting.pop_front();
+            state.buffered.pop_front();
         }
     }
     return true;
--- a/testing/forwarder.h
+++ b/testing/forwarder.h
@@ -1,10 +1,10 @@
-// A TCP forwarder on loopback, with which a test disturbs a link: cuts, resets, delays and silence.
+// A TCP forwarder on loopback through which tests inject link faults: partitions, resets, delays and silent connections.
 //
-// It listens only while its target runs and the link isn't cut, so that a connection to a dead or cut-off target is
-// refused, as it would be without the forwarder. What is silenced or cut one way is dropped below TCP: nothing is
-// acknowledged there, and connections that open meanwhile hang, as they do behind a cut between machines.
+// It listens only while its target runs and the link is not cut, so that a connection to a dead or partitioned target is
+// refused, as it would be without the forwarder. Silenced connections and one-way loss drop segments below TCP: nothing is
+// acknowledged, and new connections hang during one-way loss, as in a network partition between machines.
 //
-// Thread safety: all methods from any thread; the forwarding runs on a thread of its own.
+// Thread safety: all methods from any thread; the forwarding runs on a separate thread.
 
 #ifndef PADDLEPIER_TESTING_FORWARDER_H
 #define PADDLEPIER_TESTING_FORWARDER_H
@@ -31,11 +31,11 @@
 struct ForwarderEnd {
     std::string host = "127.0.0.1";
     std::uint16_t port = 0;
-    /** Null: the space of the process. */
+    /** Null: the network namespace of the process. */
     const NetworkSpace *space = nullptr;
 };
 
-/** Direction of bytes, seen from who opened the connection. */
+/** Direction of data, as seen from the side that opened the connection. */
 enum class Direction { ToTarget, FromTarget };
 
 class Forwarder
@@ -50,30 +50,30 @@
     Forwarder &operator=(const Forwarder &) = delete;
 
     void setCut(bool isCut);
-    /** What is open to a target that has ended is left to the end of its process. */
+    /** Doesn't close open connections to a target that has stopped: they end when its process does. */
     void setTargetRunning(bool isRunning);
 
-    /** Holds up what arrives from now on, in both directions. */
+    /** Delays data that arrives from now on, in both directions. */
     void setDelay(Duration time);
-    /** Loses what goes one way, and what would open a connection, until it's taken back; TCP then sends it again. */
-    void setLost(Direction way, bool isLost);
-    /** Resets what is open. */
+    /** Drops segments in one direction, and all connection attempts, until reset; TCP then retransmits them. */
+    void setLoss(Direction direction, bool isLost);
+    /** Resets all open connections. */
     void resetAll();
-    /** Connections that are open now never carry anything again, and aren't closed; new ones work. */
+    /** Connections that are open now transfer no more data and are not closed; new connections work. */
     void silenceAll();
 
 private:
     struct Chunk {
         Timestamp due;
-        /** Empty: the sender has closed. */
+        /** Empty: the sender has closed its side. */
         std::string bytes;
     };
     struct Socket {
         int other = -1;
         bool isIncoming = false;
         bool hasEnded = false;
-        std::deque<Chunk> waiting;
-        std::size_t waitingBytes = 0;
+        std::deque<Chunk> buffered;
+        std::size_t bufferedBytes = 0;
     };
 
     void run();
@@ -81,7 +81,7 @@
     void listen() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     void closeListener() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     void closeAll(bool asReset) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-    std::vector<pollfd> waitingFor(int &patienceMillis) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+    std::vector<pollfd> pollEntries(int &timeoutMillis) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     void handle(const pollfd &entry) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     void accept() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     void read(int from) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
@@ -90,7 +90,7 @@
     void closePair(int socket, bool asReset) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     void applyLoss(int socket, bool isIncoming) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
 
-    const ForwarderEnd own;
+    const ForwarderEnd listenEnd;
     const ForwarderEnd target;
     absl::Mutex mutex;
     int listener ABSL_GUARDED_BY(mutex) = -1;
--- a/testing/forwarder_test.cpp
+++ b/testing/forwarder_test.cpp
@@ -1,4 +1,4 @@
-// The forwarder disturbs a link as it says.
+// Each link fault of the forwarder must have exactly its documented effect; end-to-end and soak tests depend on these faults.
 
 #include "testing/forwarder.h"
 #include "testing/harness.h"
@@ -19,9 +19,9 @@
 namespace
 {
 
-constexpr Duration shortWhile = absl::Milliseconds(300);
+constexpr Duration shortWait = absl::Milliseconds(300);
 
-/** Sends back what it receives. */
+/** A forwarder in front of a server that echoes the bytes it receives. */
 class ForwarderFixture
 {
 public:
@@ -55,19 +55,19 @@
         return this->opened.back();
     }
 
-    /** Whether a byte comes back over @p socket within @p patience. */
-    static bool answers(int socket, Duration patience)
+    /** Whether a byte sent over @p socket is echoed; each of sending and receiving may take up to @p timeout. */
+    static bool answers(int socket, Duration timeout)
     {
         char byte = 'x';
         const auto moves = [&](short events, const auto &move) {
             pollfd entry{socket, events, 0};
-            return ::poll(&entry, 1, static_cast<int>(absl::ToInt64Milliseconds(patience))) > 0 && move() == 1;
+            return ::poll(&entry, 1, static_cast<int>(absl::ToInt64Milliseconds(timeout))) > 0 && move() == 1;
         };
         return moves(POLLOUT, [&] { return ::send(socket, &byte, 1, MSG_NOSIGNAL); }) && moves(POLLIN, [&] { return ::recv(socket, &byte, 1, 0); });
     }
 
-    /** Whether @p socket has been closed or reset by the other side. */
-    static bool isOver(int socket)
+    /** Whether the other side has closed or reset @p socket. */
+    static bool isClosed(int socket)
     {
         char byte = 0;
         const ssize_t count = ::recv(socket, &byte, 1, MSG_PEEK);
@@ -91,23 +91,23 @@
 
     void echo()
     {
-        std::vector<pollfd> waiting{{this->listener, POLLIN, 0}};
-        while (::poll(waiting.data(), waiting.size(), -1) > 0 && (waiting[0].revents & (POLLHUP | POLLERR)) == 0) {
-            for (std::size_t index = 1; index < waiting.size(); ++index) {
+        std::vector<pollfd> entries{{this->listener, POLLIN, 0}};
+        while (::poll(entries.data(), entries.size(), -1) > 0 && (entries[0].revents & (POLLHUP | POLLERR)) == 0) {
+            for (std::size_t index = 1; index < entries.size(); ++index) {
                 std::array<char, 64> bytes{};
-                const ssize_t count = waiting[index].revents == 0 ? 0 : ::recv(waiting[index].fd, bytes.data(), bytes.size(), 0);
+                const ssize_t count = entries[index].revents == 0 ? 0 : ::recv(entries[index].fd, bytes.data(), bytes.size(), 0);
                 if (count > 0) {
-                    ::send(waiting[index].fd, bytes.data(), static_cast<std::size_t>(count), MSG_NOSIGNAL);
-                } else if (waiting[index].revents != 0) {
-                    ::close(std::exchange(waiting[index].fd, -1));
+                    ::send(entries[index].fd, bytes.data(), static_cast<std::size_t>(count), MSG_NOSIGNAL);
+                } else if (entries[index].revents != 0) {
+                    ::close(std::exchange(entries[index].fd, -1));
                 }
             }
-            if (waiting[0].revents != 0) {
-                waiting.push_back({::accept4(this->listener, nullptr, nullptr, SOCK_CLOEXEC), POLLIN, 0});
+            if (entries[0].revents != 0) {
+                entries.push_back({::accept4(this->listener, nullptr, nullptr, SOCK_CLOEXEC), POLLIN, 0});
             }
         }
-        for (std::size_t index = 1; index < waiting.size(); ++index) {
-            ::close(waiting[index].fd);
+        for (std::size_t index = 1; index < entries.size(); ++index) {
+            ::close(entries[index].fd);
         }
     }
 
@@ -121,48 +121,48 @@
 
 } // namespace
 
-TEST_CASE_METHOD(ForwarderFixture, "forwarder_silenced_isSilentOnOpenConnectionsAndServesNewOnes")
+TEST_CASE_METHOD(ForwarderFixture, "forwarder_silenced_stallsOpenConnectionsAndServesNewOnes")
 {
     const int before = this->connect();
     REQUIRE(answers(before, absl::Seconds(5)));
     this->link().silenceAll();
-    CHECK_FALSE(answers(before, shortWhile));
-    CHECK_FALSE(isOver(before));
+    CHECK_FALSE(answers(before, shortWait));
+    CHECK_FALSE(isClosed(before));
     CHECK(answers(this->connect(), absl::Seconds(5)));
-    CHECK_FALSE(answers(before, shortWhile));
+    CHECK_FALSE(answers(before, shortWait));
 }
 
-TEST_CASE_METHOD(ForwarderFixture, "forwarder_reset_endsOpenConnectionsAndServesNewOnes")
+TEST_CASE_METHOD(ForwarderFixture, "forwarder_reset_closesOpenConnectionsAndServesNewOnes")
 {
     const int before = this->connect();
     REQUIRE(answers(before, absl::Seconds(5)));
     this->link().resetAll();
-    CHECK(waitUntil([&] { return isOver(before); }));
+    CHECK(waitUntil([&] { return isClosed(before); }));
     CHECK(answers(this->connect(), absl::Seconds(5)));
 }
 
-TEST_CASE_METHOD(ForwarderFixture, "forwarder_lostOneWay_carriesNothingUntilItIsHealed")
+TEST_CASE_METHOD(ForwarderFixture, "forwarder_lossInOneDirection_transfersNothingUntilReset")
 {
-    for (const Direction way : {Direction::ToTarget, Direction::FromTarget}) {
+    for (const Direction direction : {Direction::ToTarget, Direction::FromTarget}) {
         const int before = this->connect();
         REQUIRE(answers(before, absl::Seconds(5)));
-        this->link().setLost(way, true);
-        CHECK_FALSE(answers(before, shortWhile));
-        CHECK_FALSE(answers(this->connect(), shortWhile));
-        this->link().setLost(way, false);
+        this->link().setLoss(direction, true);
+        CHECK_FALSE(answers(before, shortWait));
+        CHECK_FALSE(answers(this->connect(), shortWait));
+        this->link().setLoss(direction, false);
         CHECK(answers(before, absl::Seconds(20)));
         CHECK(answers(this->connect(), absl::Seconds(20)));
     }
 }
 
-TEST_CASE_METHOD(ForwarderFixture, "forwarder_delayed_answersLate")
+TEST_CASE_METHOD(ForwarderFixture, "forwarder_delayed_answersAfterTheDelay")
 {
     const int socket = this->connect();
     REQUIRE(answers(socket, absl::Seconds(5)));
     this->link().setDelay(absl::Seconds(2));
-    CHECK_FALSE(answers(socket, shortWhile));
+    CHECK_FALSE(answers(socket, shortWait));
     this->link().setDelay(absl::ZeroDuration());
-    CHECK(waitUntil([&] { return !isOver(socket) && answers(socket, shortWhile); }));
+    CHECK(waitUntil([&] { return !isClosed(socket) && answers(socket, shortWait); }));
 }
 
 } // namespace paddlepier::testing
--- a/testing/harness.cpp
+++ b/testing/harness.cpp
@@ -29,12 +29,12 @@
 
 constexpr const char *cellKey = "key-of-the-test-cell";
 
-std::vector<char *> pointersTo(const std::vector<std::string> &words)
+std::vector<char *> pointersTo(const std::vector<std::string> &texts)
 {
     std::vector<char *> pointers;
-    pointers.reserve(words.size() + 1);
-    for (const std::string &word : words) {
-        pointers.push_back(const_cast<char *>(word.c_str()));
+    pointers.reserve(texts.size() + 1);
+    for (const std::string &text : texts) {
+        pointers.push_back(const_cast<char *>(text.c_str()));
     }
     return pointers;
 }
@@ -60,7 +60,7 @@
 
 std::uint16_t freePort()
 {
-    static std::set<std::uint16_t> given;
+    static std::set<std::uint16_t> allocated;
     while (true) {
         const int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         sockaddr_in address{};
@@ -73,15 +73,15 @@
         ::getsockname(descriptor, reinterpret_cast<sockaddr *>(&address), &size);
         ::close(descriptor);
         const std::uint16_t port = ntohs(address.sin_port);
-        if (given.insert(port).second) {
+        if (allocated.insert(port).second) {
             return port;
         }
     }
 }
 
-Process::Process(const std::vector<std::string> &words, const std::string &outputPath, const std::vector<std::string> &environment)
+Process::Process(const std::vector<std::string> &command, const std::string &outputPath, const std::vector<std::string> &environment)
 {
-    std::vector<char *> arguments = pointersTo(words);
+    std::vector<char *> arguments = pointersTo(command);
     arguments.push_back(nullptr);
     std::vector<char *> variables = pointersTo(environment);
     for (char **variable = environ; *variable != nullptr; ++variable) {
@@ -92,10 +92,10 @@
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, outputPath.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0640);
     posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-    const int problem = posix_spawn(&this->child, words[0].c_str(), &actions, nullptr, arguments.data(), variables.data());
+    const int error = posix_spawn(&this->child, command[0].c_str(), &actions, nullptr, arguments.data(), variables.data());
     posix_spawn_file_actions_destroy(&actions);
-    if (problem != 0) {
-        throw InternalError(absl::StrCat("can't start ", words[0]));
+    if (error != 0) {
+        throw InternalError(absl::StrCat("cannot start ", command[0]));
     }
 }
 
@@ -249,8 +249,8 @@
 
 void Cell::startEntry(const std::string &id)
 {
-    const std::vector<std::string> words{this->programFolder + "/paddlepier", "serve", "--config", this->settingsPath(id)};
-    this->processes[id] = std::make_unique<Process>(words, this->outputPath(id));
+    const std::vector<std::string> command{this->programFolder + "/paddlepier", "serve", "--config", this->settingsPath(id)};
+    this->processes[id] = std::make_unique<Process>(command, this->outputPath(id));
     this->setRunning(id, true);
 }
 
@@ -264,34 +264,34 @@
 void Cell::startWorker(const WorkerSpec &spec)
 {
     const std::string logPath = absl::StrCat(this->temporary, "/", spec.name, ".log");
-    const std::vector<std::string> words{this->programFolder + "/testing/standin_worker",
-                                         "--name",
-                                         spec.name,
-                                         "--partner",
-                                         spec.partner,
-                                         "--data-centre",
-                                         spec.dataCentre,
-                                         "--rack",
-                                         spec.rack,
-                                         "--token",
-                                         workerToken(spec.partner),
-                                         "--address",
-                                         loopback(freePort()),
-                                         "--entries",
-                                         absl::StrJoin(this->httpOfDataCentre(spec.dataCentre), ","),
-                                         "--milli-processors",
-                                         absl::StrCat(spec.capacity.milliProcessors()),
-                                         "--memory",
-                                         absl::StrCat(spec.capacity.memoryMegabytes()),
-                                         "--accelerators",
-                                         absl::StrCat(spec.capacity.accelerators()),
-                                         "--log",
-                                         logPath,
-                                         "--fault",
-                                         spec.fault,
-                                         "--drain-after-millis",
-                                         absl::StrCat(spec.drainAfterMillis)};
-    this->processes[spec.name] = std::make_unique<Process>(words, this->outputPath(spec.name));
+    const std::vector<std::string> command{this->programFolder + "/testing/standin_worker",
+                                           "--name",
+                                           spec.name,
+                                           "--partner",
+                                           spec.partner,
+                                           "--data-centre",
+                                           spec.dataCentre,
+                                           "--rack",
+                                           spec.rack,
+                                           "--token",
+                                           workerToken(spec.partner),
+                                           "--address",
+                                           loopback(freePort()),
+                                           "--entries",
+                                           absl::StrJoin(this->httpOfDataCentre(spec.dataCentre), ","),
+                                           "--milli-processors",
+                                           absl::StrCat(spec.capacity.milliProcessors()),
+                                           "--memory",
+                                           absl::StrCat(spec.capacity.memoryMegabytes()),
+                                           "--accelerators",
+                                           absl::StrCat(spec.capacity.accelerators()),
+                                           "--log",
+                                           logPath,
+                                           "--fault",
+                                           spec.fault,
+                                           "--drain-after-millis",
+                                           absl::StrCat(spec.drainAfterMillis)};
+    this->processes[spec.name] = std::make_unique<Process>(command, this->outputPath(spec.name));
     this->logs.push_back({spec.name, spec.dataCentre, logPath, spec.capacity, 8});
 }
 
@@ -367,7 +367,7 @@
     const http::Response answer = this->post(id, path, request, token, "application/x-flatbuffers");
     if (answer.status != 200) {
         if (answer.status == 0) {
-            throw DataCentreUnreachableError("no answer");
+            throw DataCentreUnreachableError("the instance did not respond");
         }
         const wire::ErrorReplyT error = rpc::errorFromJson(answer.body);
         throw Error(error.error, error.message);
@@ -417,7 +417,7 @@
             try {
                 return this->explain(id, partner, job).summary->state == state;
             } catch (const Error &) {
-                return false; // No leader at the moment.
+                return false; // There is no leader at this time.
             }
         },
         limit);
--- a/testing/harness.h
+++ b/testing/harness.h
@@ -1,7 +1,7 @@
 // A cell of real processes on loopback, for end-to-end tests and the demo.
 //
-// Starts entry instances and stand-in workers, each as a process of its own, with settings and logs in a temporary
-// folder. Everything is ended with the Cell, by pid.
+// Starts entry instances and stand-in workers, each in a separate process, with settings and logs in a temporary folder.
+// The destructor of Cell ends all of them, by pid.
 //
 // Thread safety: none.
 
@@ -26,24 +26,24 @@
 namespace paddlepier::testing
 {
 
-/** Asks @p condition every 20 ms; false if it doesn't hold within @p limit. */
+/** Evaluates @p condition every 20 ms; false if it does not hold within @p limit. */
 bool waitUntil(const std::function<bool()> &condition, Duration limit = absl::Seconds(30));
 
-/** A free port on loopback. */
+/** A free port on loopback; never the same one twice in a process. */
 std::uint16_t freePort();
 
 class Process
 {
 public:
-    /** @param environment lines NAME=text in addition to this process's own */
-    Process(const std::vector<std::string> &words, const std::string &outputPath, const std::vector<std::string> &environment = {});
+    /** @param environment entries NAME=text in addition to the environment of this process */
+    Process(const std::vector<std::string> &command, const std::string &outputPath, const std::vector<std::string> &environment = {});
     ~Process();
 
     Process(const Process &) = delete;
     Process &operator=(const Process &) = delete;
 
     void signal(int number) const;
-    /** Waits for the end. @return exit status, or 128 and the signal */
+    /** Waits until the process has ended. @return its exit status, or 128 plus the signal number */
     int wait();
     bool hasEnded();
     pid_t pid() const;
@@ -78,7 +78,7 @@
 class Cell
 {
 public:
-    /** @param programs folder with the built programs; @param timing lines of the [timing] and [limits] tables */
+    /** @param programs folder with the built programs; @param extraSettings lines of the [timing] and [limits] tables */
     Cell(std::string programs, std::vector<EntrySpec> entries, std::vector<LedgerSpec> ledgers, std::string extraSettings = "", bool withForwarders = false);
     ~Cell();
 
@@ -88,14 +88,14 @@
     void startEntry(const std::string &id);
     void startAll();
     void startWorker(const WorkerSpec &spec);
-    /** Ends a process with SIGKILL. */
+    /** Ends the process with SIGKILL. */
     void killEntry(const std::string &id);
     void killWorker(const std::string &name);
-    /** Cuts an entry off from all others, peers and hops, or heals the cut; needs forwarders. */
+    /** Partitions an entry from all others (peer connections and hops), or ends the partition; needs forwarders. */
     void cutOff(const std::string &id, bool isCut);
     void signalEntry(const std::string &id, int number);
     int waitEntry(const std::string &id);
-    /** Deletes an entry's data folder, as a lost disk would. */
+    /** Deletes an entry's data folder, to simulate the loss of its disk. */
     void loseDisk(const std::string &id);
 
     std::string httpOf(const std::string &id) const;
@@ -105,11 +105,11 @@
     const std::string &folder() const;
     pid_t pidOf(const std::string &id) const;
 
-    /** A raw call; the answer's status is 0 if none came. */
+    /** A raw call; the response's status is 0 if none was received. */
     http::Response
     post(const std::string &id, const std::string &path, const std::string &body, const std::string &token, const std::string &type = "application/json") const;
 
-    /** A call with the operator's token of @p partner. @throws Error as answered */
+    /** A call with the operator token of @p partner. @throws Error with the code that the instance answered */
     template<typename Reply, typename Request>
     Reply call(const std::string &id, rpc::Method method, const Request &request, const std::string &partner) const
     {
@@ -130,7 +130,7 @@
     static std::string workerToken(const std::string &partner);
     static std::string administratorToken();
 
-    /** Changes the configuration. @throws Error as answered */
+    /** Changes the configuration. @throws Error with the code that the instance answered */
     wire::ChangeReplyT change(const std::string &id, std::uint64_t expectedVersion, const std::string &text, const std::string &revision) const;
     wire::ConfigurationStatusReplyT configuration(const std::string &id) const;
 
--- a/testing/knownred.cpp
+++ b/testing/knownred.cpp
@@ -1,4 +1,4 @@
-// Reads the list of tests that are known to fail.
+// Parses the list of tests that are known to fail.
 
 #include "testing/knownred.h"
 
@@ -9,21 +9,21 @@
 
 std::vector<KnownRed> readKnownRed(std::istream &lines)
 {
-    std::vector<KnownRed> found;
+    std::vector<KnownRed> entries;
     for (std::string line; std::getline(lines, line);) {
         if (line.find_first_not_of(" \t") == std::string::npos) {
             continue;
         }
         const std::size_t end = line.find(": ");
         if (end == 0 || end == std::string::npos || end + 2 == line.size()) {
-            throw std::runtime_error("KNOWN-RED.txt: a line is `test: cause`: " + line);
+            throw std::runtime_error("KNOWN-RED.txt: expected `test: cause`, got: " + line);
         }
-        found.push_back({line.substr(0, end), line});
+        entries.push_back({line.substr(0, end), line});
     }
-    if (found.size() > maxKnownRed) {
-        throw std::runtime_error("KNOWN-RED.txt: more than three lines");
+    if (entries.size() > maxKnownRed) {
+        throw std::runtime_error("KNOWN-RED.txt: more than the three entries allowed");
     }
-    return found;
+    return entries;
 }
 
 } // namespace paddlepier::testing
--- a/testing/knownred.h
+++ b/testing/knownred.h
@@ -1,10 +1,10 @@
-// Tests that are known to fail for a fault that isn't mended yet.
+// Tests that are known to fail because of a fault that is not fixed yet.
 //
-// KNOWN-RED.txt at the root of the repository has one line for each, `test: cause (where it is followed up)`, three at most. The
-// runner passes over these tests alone, and prints the lines, so that a green run never hides them.
+// KNOWN-RED.txt at the root of the repository has one line for each, `test: cause (where it is tracked)`, three at most. The
+// test runner excludes only these tests, and prints their lines so that a passing run does not hide them.
 // PADDLEPIER_RUN_KNOWN_RED=1 runs them.
 //
-// Thread safety: plain functions.
+// Thread safety: free functions without state.
 
 #ifndef PADDLEPIER_TESTING_KNOWNRED_H
 #define PADDLEPIER_TESTING_KNOWNRED_H
@@ -21,10 +21,10 @@
     std::string line;
 };
 
-/** More are a reason to stop and mend. */
+/** Beyond this number, known failures must be fixed before new ones are listed. */
 constexpr std::size_t maxKnownRed = 3;
 
-/** @throws std::runtime_error if a line has no test or no cause, or if there are more than mostKnownRed */
+/** @throws std::runtime_error if a line has no test or no cause, or if there are more than maxKnownRed */
 std::vector<KnownRed> readKnownRed(std::istream &lines);
 
 } // namespace paddlepier::testing
--- a/testing/knownred_test.cpp
+++ b/testing/knownred_test.cpp
@@ -1,4 +1,4 @@
-// The list of tests that are known to fail is short and says why.
+// The list of known failures must stay short, and each entry must state its cause; otherwise it would hide failing tests.
 
 #include "testing/knownred.h"
 
@@ -9,22 +9,22 @@
 namespace paddlepier::testing
 {
 
-TEST_CASE("knownRed_linesWithTestAndCause_areRead")
+TEST_CASE("knownRed_linesWithTestAndCause_areParsed")
 {
     std::istringstream lines("a_b_c: the cause (where)\n\nd_e_f: another\n");
-    const std::vector<KnownRed> found = readKnownRed(lines);
-    REQUIRE(found.size() == 2);
-    CHECK(found[0].test == "a_b_c");
-    CHECK(found[1].line == "d_e_f: another");
+    const std::vector<KnownRed> entries = readKnownRed(lines);
+    REQUIRE(entries.size() == 2);
+    CHECK(entries[0].test == "a_b_c");
+    CHECK(entries[1].line == "d_e_f: another");
 }
 
-TEST_CASE("knownRed_lineWithoutCause_isRefused")
+TEST_CASE("knownRed_lineWithoutCause_isRejected")
 {
     std::istringstream lines("a_b_c\n");
     CHECK_THROWS(readKnownRed(lines));
 }
 
-TEST_CASE("knownRed_moreThanThreeLines_isRefused")
+TEST_CASE("knownRed_moreThanThreeLines_isRejected")
 {
     std::istringstream lines("a: x\nb: x\nc: x\nd: x\n");
     CHECK_THROWS(readKnownRed(lines));
--- a/testing/main_test.cpp
+++ b/testing/main_test.cpp
@@ -1,4 +1,4 @@
-// Entry point of the tests; PADDLEPIER_TEST_LOG=1 shows what the code under test logs.
+// Entry point of the tests; PADDLEPIER_TEST_LOG=1 prints the log output of the code under test.
 
 #define CATCH_CONFIG_RUNNER
 #include <catch2/catch.hpp>
@@ -13,8 +13,8 @@
 namespace
 {
 
-/** Leaves the tests out that are known to fail, and says so. */
-void passOverKnownRed(Catch::Session &session)
+/** Excludes the tests listed in KNOWN-RED.txt, and prints their entries. */
+void excludeKnownRed(Catch::Session &session)
 {
     std::ifstream lines(PADDLEPIER_KNOWN_RED);
     for (const paddlepier::testing::KnownRed &red : paddlepier::testing::readKnownRed(lines)) {
@@ -25,17 +25,17 @@
 
 } // namespace
 
-int main(int count, char **words)
+int main(int argc, char **argv)
 {
     const bool isLogged = std::getenv("PADDLEPIER_TEST_LOG") != nullptr;
     paddlepier::log::initialize(isLogged ? paddlepier::log::Level::Debug : paddlepier::log::Level::Error);
     Catch::Session session;
-    const int problem = session.applyCommandLine(count, words);
-    if (problem != 0) {
-        return problem;
+    const int status = session.applyCommandLine(argc, argv);
+    if (status != 0) {
+        return status;
     }
     if (std::getenv("PADDLEPIER_RUN_KNOWN_RED") == nullptr) {
-        passOverKnownRed(session);
+        excludeKnownRed(session);
     }
     return session.run();
 }
--- a/testing/measure.cpp
+++ b/testing/measure.cpp
@@ -1,7 +1,7 @@
-// Program: measures a cell of real processes on loopback; every figure of docs/MEASUREMENTS.md that needs one.
+// Program: measures a cell of real processes on loopback, for the figures of docs/MEASUREMENTS.md that need one.
 //
-// Entry instances are processes of their own, so that their processor time and memory are read per process; the stand-in
-// workers run inside this program. Each line of output is one figure with its condition.
+// Each entry instance runs in a separate process, so that processor time and memory are read per instance; the stand-in
+// workers run in this program. Each line of output is one figure with its condition.
 
 #include "testing/caller.h"
 #include "testing/harness.h"
@@ -60,7 +60,7 @@
             this->addresses.push_back(options.address.text());
         }
         if (!this->cell.waitReady("a1", static_cast<std::size_t>(workerCount))) {
-            throw InternalError("the cell doesn't get ready");
+            throw InternalError("the cell did not become ready");
         }
     }
 
@@ -99,7 +99,7 @@
         return this->cell.call<wire::StatusReplyT>("a1", rpc::Method::Status, wire::StatusRequestT(), partner).leader;
     }
 
-    /** Prints what each instance spends while @p load runs. */
+    /** Prints the resource usage of each instance while @p load runs. */
     void report(const std::string &condition, const std::function<void()> &load) const
     {
         std::map<std::string, Usage> before;
@@ -109,10 +109,10 @@
         const Timestamp start = controlNow();
         load();
         const double seconds = absl::ToDoubleSeconds(controlNow() - start);
-        const std::string leading = this->leader();
+        const std::string leaderId = this->leader();
         for (const std::string &id : entryIds) {
             const Usage after = this->usage(id);
-            std::cout << condition << " " << (id == leading ? "leader" : "follower") << ": cpu " << (after.cpuSeconds - before[id].cpuSeconds) / seconds * 100
+            std::cout << condition << " " << (id == leaderId ? "leader" : "follower") << ": cpu " << (after.cpuSeconds - before[id].cpuSeconds) / seconds * 100
                       << " % of a core, memory " << after.residentMegabytes << " MB, peer bytes sent "
                       << (after.peerBytes - before[id].peerBytes) / seconds / 1000 << " KB/s, placed " << (after.placed - before[id].placed) / seconds
                       << " tasks/s\n";
@@ -204,10 +204,10 @@
     std::sort(waits.begin(), waits.end());
     std::cout << "waiting time from submission to first reported start, " << tasksPerSecond << " starts/s: p50 " << waits[waits.size() / 2] << " ms, p99 "
               << waits[waits.size() * 99 / 100] << " ms\n";
-    const std::string leading = bench.leader();
-    std::cout << "commit through three replicas: p50 " << bench.metric(leading, "ledger_commit{ledger=\"dc-1\"}_p50_seconds") * 1000 << " ms, p99 "
-              << bench.metric(leading, "ledger_commit{ledger=\"dc-1\"}_p99_seconds") * 1000 << " ms; disk write p50 "
-              << bench.metric(leading, "disk_write_p50_seconds") * 1000 << " ms, p99 " << bench.metric(leading, "disk_write_p99_seconds") * 1000 << " ms\n";
+    const std::string leaderId = bench.leader();
+    std::cout << "commit through three replicas: p50 " << bench.metric(leaderId, "ledger_commit{ledger=\"dc-1\"}_p50_seconds") * 1000 << " ms, p99 "
+              << bench.metric(leaderId, "ledger_commit{ledger=\"dc-1\"}_p99_seconds") * 1000 << " ms; disk write p50 "
+              << bench.metric(leaderId, "disk_write_p50_seconds") * 1000 << " ms, p99 " << bench.metric(leaderId, "disk_write_p99_seconds") * 1000 << " ms\n";
 }
 
 void measureFailover(const std::string &programs)
@@ -216,12 +216,12 @@
     for (int round = 0; round < 7; ++round) {
         Bench bench(programs, 2);
         const std::string victim = bench.leader();
-        const std::string asked = victim == "a1" ? "a2" : "a1";
+        const std::string survivor = victim == "a1" ? "a2" : "a1";
         bench.cell.killEntry(victim);
         const Timestamp start = controlNow();
         waitUntil([&] {
             try {
-                bench.cell.call<wire::StatusReplyT>(asked, rpc::Method::Status, wire::StatusRequestT(), partner);
+                bench.cell.call<wire::StatusReplyT>(survivor, rpc::Method::Status, wire::StatusRequestT(), partner);
                 return true;
             } catch (const Error &) {
                 return false;
@@ -243,7 +243,7 @@
                 return false;
             }
         })) {
-        throw InternalError("the deployment's ledger has no leader");
+        throw InternalError("the ledger of the deployment has no leader");
     }
     constexpr std::uint64_t changes = 30;
     std::vector<double> times;
@@ -264,31 +264,31 @@
 
 } // namespace
 
-int main(int count, char **words)
+int main(int argc, char **argv)
 {
-    if (count < 2) {
+    if (argc < 2) {
         std::cerr << "usage: measure PROGRAM-FOLDER [quick] [starts] [failover] [configuration] [idle]\n";
         return 2;
     }
     log::initialize(log::Level::Error);
-    const std::vector<std::string> parts(words + 2, words + count);
-    const auto isWanted = [&parts](const char *part) { return parts.empty() || std::find(parts.begin(), parts.end(), part) != parts.end(); };
-    const std::string programs = words[1];
+    const std::vector<std::string> parts(argv + 2, argv + argc);
+    const auto isSelected = [&parts](const char *part) { return parts.empty() || std::find(parts.begin(), parts.end(), part) != parts.end(); };
+    const std::string programs = argv[1];
     try {
-        if (isWanted("quick")) {
+        if (isSelected("quick")) {
             measureQuick(programs);
         }
-        if (isWanted("starts")) {
+        if (isSelected("starts")) {
             measureStarts(programs, 24, 100);
             measureStarts(programs, 24, 550);
         }
-        if (isWanted("failover")) {
+        if (isSelected("failover")) {
             measureFailover(programs);
         }
-        if (isWanted("configuration")) {
+        if (isSelected("configuration")) {
             measureConfiguration(programs);
         }
-        if (isWanted("idle")) {
+        if (isSelected("idle")) {
             measureIdle(programs);
         }
     } catch (const std::exception &error) {
--- a/testing/networkspace.cpp
+++ b/testing/networkspace.cpp
@@ -1,4 +1,4 @@
-// Network namespaces of a test.
+// Network namespaces for tests.
 
 #include "testing/networkspace.h"
 
@@ -31,7 +31,7 @@
     return ::open("/proc/thread-self/ns/net", O_RDONLY | O_CLOEXEC);
 }
 
-bool raiseLoopback()
+bool bringUpLoopback()
 {
     const int socket = ::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
     ifreq request{};
@@ -49,12 +49,12 @@
     std::ofstream("/proc/self/gid_map") << group << " " << group << " 1";
 }
 
-/** Set for the program that runs inside. */
+/** Set for the program that runs in the new namespaces. */
 constexpr const char *insideVariable = "PADDLEPIER_OWN_NETWORK";
 
 constexpr int cannotRun = 2;
 
-/** Runs @p action in a process of its own, which ends with this one. */
+/** Runs @p action in a child process, which the kernel ends together with this one. */
 template<typename Action>
 pid_t forkWith(const Action &action)
 {
@@ -73,59 +73,59 @@
     return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
 }
 
-int runAgain(char **words)
+int executeAgain(char **argv)
 {
     ::setenv(insideVariable, "1", 1);
-    ::execv("/proc/self/exe", words);
+    ::execv("/proc/self/exe", argv);
     return cannotRun;
 }
 
-/** Only a process of one thread, as a fork is, may have a user namespace of its own. */
-int runInside(char **words)
+/** Must run in a forked child: only a single-threaded process may create a user namespace. */
+int runInside(char **argv)
 {
     const uid_t user = ::getuid();
     const gid_t group = ::getgid();
     if (::unshare(CLONE_NEWUSER | CLONE_NEWNET | CLONE_NEWPID) != 0) {
-        std::perror("no namespaces of its own on this machine: unshare");
+        std::perror("cannot create user, network and process namespaces: unshare");
         return cannotRun;
     }
     mapOwnUser(user, group);
-    if (!raiseLoopback()) {
-        std::perror("no loopback in a network namespace");
+    if (!bringUpLoopback()) {
+        std::perror("cannot bring up loopback in the network namespace");
         return cannotRun;
     }
-    return statusOf(forkWith([words] { return runAgain(words); }));
+    return statusOf(forkWith([argv] { return executeAgain(argv); }));
 }
 
-/** Brings the calling thread back to where it was. */
-class Return
+/** Restores the calling thread's network namespace on destruction. */
+class NamespaceRestorer
 {
 public:
-    ~Return()
+    ~NamespaceRestorer()
     {
-        ::setns(this->before, CLONE_NEWNET);
-        ::close(this->before);
+        ::setns(this->original, CLONE_NEWNET);
+        ::close(this->original);
     }
 
 private:
-    const int before = openCurrent();
+    const int original = openCurrent();
 };
 
 } // namespace
 
-std::optional<int> runInOwnNetwork(char **words)
+std::optional<int> runInOwnNetwork(char **argv)
 {
     if (std::getenv(insideVariable) != nullptr) {
         return std::nullopt;
     }
-    return statusOf(forkWith([words] { return runInside(words); }));
+    return statusOf(forkWith([argv] { return runInside(argv); }));
 }
 
 NetworkSpace::NetworkSpace()
 {
-    const Return back;
-    if (::unshare(CLONE_NEWNET) != 0 || !raiseLoopback()) {
-        throw InternalError("no network namespace can be made");
+    const NamespaceRestorer restorer;
+    if (::unshare(CLONE_NEWNET) != 0 || !bringUpLoopback()) {
+        throw InternalError("cannot create a network namespace");
     }
     this->descriptor = openCurrent();
 }
@@ -137,9 +137,9 @@
 
 void NetworkSpace::inside(const std::function<void()> &action) const
 {
-    const Return back;
+    const NamespaceRestorer restorer;
     if (::setns(this->descriptor, CLONE_NEWNET) != 0) {
-        throw InternalError("a network namespace can't be entered");
+        throw InternalError("cannot enter the network namespace");
     }
     action();
 }
--- a/testing/networkspace.h
+++ b/testing/networkspace.h
@@ -1,14 +1,14 @@
-// Network namespaces of a test: processes that each have a loopback of their own, so that a forwarder can stand between
-// any two of them at the very addresses by which they know each other.
+// Network namespaces for tests: each process gets a separate loopback interface, so that a forwarder can be placed between
+// any two processes at the addresses that they use for each other.
 //
 // Example:
-//     if (const std::optional<int> status = runInOwnNetwork(words)) {   // first thing in main()
+//     if (const std::optional<int> status = runInOwnNetwork(argv)) {   // the first statement of main()
 //         return *status;
 //     }
 //     NetworkSpace space;
 //     space.inside([&] { process.emplace(words, output); });
 //
-// Thread safety: inside() from any thread; it moves the calling thread alone, and back.
+// Thread safety: inside() from any thread; it changes the namespace of the calling thread only, and restores it.
 
 #ifndef PADDLEPIER_TESTING_NETWORKSPACE_H
 #define PADDLEPIER_TESTING_NETWORKSPACE_H
@@ -20,23 +20,23 @@
 {
 
 /**
- * Runs the program again, with the same words, in user, process and network namespaces of its own, where only loopback is
- * up. It needs no privilege. Whatever the program starts there ends with it, however it ends.
- * @return nothing inside, where the program goes on; outside, its exit status, or 2 if the machine allows no namespaces
+ * Executes the program again, with the same arguments, in new user, process and network namespaces in which only loopback
+ * is up. It needs no privilege. The kernel ends all processes of the namespace when the program ends, for any reason.
+ * @return nothing in the new namespaces, where the program continues; outside, its exit status, or 2 if the machine does not allow namespaces
  */
-std::optional<int> runInOwnNetwork(char **words);
+std::optional<int> runInOwnNetwork(char **argv);
 
 class NetworkSpace
 {
 public:
-    /** @throws InternalError if the process isn't in namespaces of its own */
+    /** @throws InternalError if the process was not started through runInOwnNetwork() */
     NetworkSpace();
     ~NetworkSpace();
 
     NetworkSpace(const NetworkSpace &) = delete;
     NetworkSpace &operator=(const NetworkSpace &) = delete;
 
-    /** Runs @p action with the calling thread inside; sockets and processes that it makes belong to this space. */
+    /** Runs @p action with the calling thread in this namespace; sockets and processes that it creates belong to the namespace. */
     void inside(const std::function<void()> &action) const;
 
 private:
--- a/testing/platformnode.h
+++ b/testing/platformnode.h
@@ -1,4 +1,4 @@
-// Settings file of one process of ours, as the platform writes it.
+// Settings file of one core or entry instance, in the format that the platform writes.
 //
 // Example:
 //     PlatformNode node;
--- a/testing/platformworkers.cpp
+++ b/testing/platformworkers.cpp
@@ -1,4 +1,4 @@
-// Stand-ins of the platform's workers, over HTTP.
+// Stand-ins for the platform's workers, over HTTP.
 
 #include "testing/platformworkers.h"
 
@@ -18,35 +18,35 @@
 
 constexpr Duration heartbeatInterval = absl::Milliseconds(300);
 
-/** A heartbeat that isn't acknowledged in this time goes to the next machine; PROTOCOL.md. */
-constexpr Duration heartbeatPatience = absl::Seconds(1);
+/** A heartbeat that is not acknowledged within this time is sent to the next machine; PROTOCOL.md. */
+constexpr Duration heartbeatTimeout = absl::Seconds(1);
 
-/** Machines that are asked for one heartbeat. */
-constexpr int heartbeatTries = 3;
+/** Number of machines to which one heartbeat is sent at most. */
+constexpr int heartbeatAttempts = 3;
 
 /** `drain_ms` of the platform's settings. */
 constexpr Duration drainTime = absl::Seconds(2);
 
-/** After this a worker leaves without a confirmation. */
-constexpr Duration drainPatience = absl::Seconds(6);
+/** A draining worker ends after this time even if no machine has acknowledged the drain. */
+constexpr Duration maxDrainTime = absl::Seconds(6);
 
-/** Longer than anyone waits for the answer to an order. */
-constexpr Duration lostFor = absl::Seconds(6);
+/** Longer than any caller's timeout for the answer to an order. */
+constexpr Duration lostAnswerDelay = absl::Seconds(6);
 
-/** A smaller room counts for starts after this: `contact_ms`, a heartbeat, and the longest that an order is late here. */
-constexpr Duration shrinkingCountsAfter = absl::Seconds(7);
+/** A smaller capacity is enforced on starts after this: the sum of `contact_ms`, a heartbeat and the longest delay of an order here. */
+constexpr Duration reductionEnforcedAfter = absl::Seconds(7);
 
-/** A life that a task has taken down is followed by another one within this time. */
-constexpr Duration shortestCrash = absl::Milliseconds(300);
-constexpr Duration longestCrash = absl::Seconds(3);
+/** Bounds of the time between the crash of an incarnation by its task and the start of the next one. */
+constexpr Duration minRestartDelay = absl::Milliseconds(300);
+constexpr Duration maxRestartDelay = absl::Seconds(3);
 
-constexpr const char *lifeHeader = "Paddlepier-Expected-Instance";
+constexpr const char *incarnationHeader = "Paddlepier-Expected-Instance";
 
-execution::WorkerCall decode(const workload::Incarnation &life, const http::Request &request)
+execution::WorkerCall decode(const workload::Incarnation &incarnation, const http::Request &request)
 {
     const Json body = Json::parse(request.body);
     execution::WorkerCall call;
-    call.worker = life;
+    call.worker = incarnation;
     call.fence = body.value("fencing_token", std::uint64_t{0});
     call.leaseEndOnWorkerClock = body.value("deadline_ms", std::int64_t{0});
     const workload::TaskKey task = body.contains("task") ? platform::parseTaskKey(body["task"]) : workload::TaskKey();
@@ -137,18 +137,18 @@
     const absl::MutexLock lock(&this->mutex);
     this->seats[seat].address = address;
     this->seats[seat].keepsId = keepsId;
-    this->begin(this->seats[seat], seat);
+    this->startIncarnation(this->seats[seat], seat);
 }
 
 void PlatformWorkers::revive(const std::string &seat)
 {
     const absl::MutexLock lock(&this->mutex);
     if (!this->seats.at(seat).server) {
-        this->begin(this->seats.at(seat), seat);
+        this->startIncarnation(this->seats.at(seat), seat);
     }
 }
 
-void PlatformWorkers::begin(Seat &seat, const std::string &name)
+void PlatformWorkers::startIncarnation(Seat &seat, const std::string &name)
 {
     LimitSettings limits;
     limits.trafficThreads = 1;
@@ -170,7 +170,7 @@
         seat.address, limits, [this, name](const std::shared_ptr<http::Exchange> &exchange) { this->receive(name, exchange); });
 }
 
-std::unique_ptr<http::HttpServer> PlatformWorkers::end(Seat &seat)
+std::unique_ptr<http::HttpServer> PlatformWorkers::endIncarnation(Seat &seat)
 {
     this->workers.crash(seat.incarnation.id);
     return std::move(seat.server);
@@ -178,36 +178,36 @@
 
 void PlatformWorkers::crash(const std::string &seat, std::optional<Duration> heartbeatLag)
 {
-    // Stopped without the lock, which its handlers take.
+    // Destroyed after the lock is released: stopping the server waits for its handlers, which take the lock.
     std::unique_ptr<http::HttpServer> server;
     const absl::MutexLock lock(&this->mutex);
-    Seat &place = this->seats.at(seat);
-    if (!place.server) {
+    Seat &state = this->seats.at(seat);
+    if (!state.server) {
         return;
     }
     if (heartbeatLag) {
-        this->later(*heartbeatLag, *heartbeatLag, [this, seat, life = place.incarnation, body = this->announcementOf(place)] {
-            this->send("PUT", seat, life, body, 1);
+        this->runLater(*heartbeatLag, *heartbeatLag, [this, seat, incarnation = state.incarnation, body = this->announcementOf(state)] {
+            this->send("PUT", seat, incarnation, body, 1);
         });
     }
-    server = this->end(place);
+    server = this->endIncarnation(state);
 }
 
 void PlatformWorkers::drain(const std::string &seat)
 {
     const absl::MutexLock lock(&this->mutex);
-    Seat &place = this->seats.at(seat);
-    if (place.server && !place.isDraining) {
-        place.isDraining = true;
-        place.leavesAt = controlNow() + drainPatience;
-        place.nextHeartbeat = absl::InfinitePast();
+    Seat &state = this->seats.at(seat);
+    if (state.server && !state.isDraining) {
+        state.isDraining = true;
+        state.leavesAt = controlNow() + maxDrainTime;
+        state.nextHeartbeat = absl::InfinitePast();
     }
 }
 
-void PlatformWorkers::setTrouble(const std::string &seat, WorkerTrouble trouble)
+void PlatformWorkers::setFault(const std::string &seat, WorkerFault fault)
 {
     const absl::MutexLock lock(&this->mutex);
-    this->seats.at(seat).trouble = trouble;
+    this->seats.at(seat).fault = fault;
 }
 
 void PlatformWorkers::setCapacity(const std::string &name, std::uint32_t milliProcessors)
@@ -216,16 +216,16 @@
     Seat &seat = this->seats.at(name);
     seat.milliProcessors = milliProcessors;
     const std::uint32_t change = ++seat.capacityChanges;
-    std::uint32_t &counted = this->workers.workers[seat.incarnation.id].capacity;
-    if (milliProcessors >= counted) {
-        counted = milliProcessors;
+    std::uint32_t &enforced = this->workers.workers[seat.incarnation.id].capacity;
+    if (milliProcessors >= enforced) {
+        enforced = milliProcessors;
         return;
     }
-    this->later(shrinkingCountsAfter, shrinkingCountsAfter, [this, name, life = seat.incarnation, change, milliProcessors] {
+    this->runLater(reductionEnforcedAfter, reductionEnforcedAfter, [this, name, incarnation = seat.incarnation, change, milliProcessors] {
         this->mutex.AssertHeld();
-        // A room that grew and shrank again meanwhile counts from its last announcement.
-        if (this->seats.at(name).incarnation == life && this->seats.at(name).capacityChanges == change) {
-            this->workers.workers[life.id].capacity = milliProcessors;
+        // If the capacity was announced again meanwhile, only the last announcement takes effect.
+        if (this->seats.at(name).incarnation == incarnation && this->seats.at(name).capacityChanges == change) {
+            this->workers.workers[incarnation.id].capacity = milliProcessors;
         }
     });
 }
@@ -252,17 +252,17 @@
 {
     const absl::MutexLock lock(&this->mutex);
     const Seat &seat = this->seats.at(name);
-    const std::string_view meant = exchange->request().header(lifeHeader);
-    // Nothing may wait at a server that is being stopped.
-    if (!seat.server || (!meant.empty() && meant != seat.incarnation.id)) {
+    const std::string_view expectedId = exchange->request().header(incarnationHeader);
+    // A server that is being stopped must not hold requests.
+    if (!seat.server || (!expectedId.empty() && expectedId != seat.incarnation.id)) {
         exchange->respond({421, {}, ""});
         return;
     }
     const Received received{seat.incarnation, decode(seat.incarnation, exchange->request()), exchange};
-    if (seat.trouble == WorkerTrouble::None) {
+    if (seat.fault == WorkerFault::None) {
         this->handle(received);
     } else {
-        this->handleInTrouble(seat.trouble, received);
+        this->handleWithFault(seat.fault, received);
     }
 }
 
@@ -290,10 +290,10 @@
     }
 }
 
-void PlatformWorkers::handleInTrouble(WorkerTrouble trouble, const Received &received)
+void PlatformWorkers::handleWithFault(WorkerFault fault, const Received &received)
 {
-    if (trouble == WorkerTrouble::OrdersLate) {
-        this->later(absl::ZeroDuration(), absl::Seconds(3), [this, received] {
+    if (fault == WorkerFault::DelayedOrders) {
+        this->runLater(absl::ZeroDuration(), absl::Seconds(3), [this, received] {
             this->mutex.AssertHeld();
             write(*received.exchange, this->execute(received));
         });
@@ -301,15 +301,16 @@
     }
     this->workers.advance(controlNow());
     const execution::WorkerAnswer answer = this->execute(received);
-    const bool isLost = trouble == WorkerTrouble::LosesAnswers;
-    this->later(
-        isLost ? lostFor : absl::Milliseconds(50), isLost ? lostFor : absl::Milliseconds(1500), [received, answer] { write(*received.exchange, answer); });
+    const bool isLost = fault == WorkerFault::LostAnswers;
+    this->runLater(isLost ? lostAnswerDelay : absl::Milliseconds(50), isLost ? lostAnswerDelay : absl::Milliseconds(1500), [received, answer] {
+        write(*received.exchange, answer);
+    });
 }
 
-void PlatformWorkers::later(Duration least, Duration most, std::function<void()> action)
+void PlatformWorkers::runLater(Duration minDelay, Duration maxDelay, std::function<void()> action)
 {
-    const Duration span = std::uniform_real_distribution<double>(0, 1)(this->random) * (most - least);
-    this->delayed.emplace(controlNow() + least + span, std::move(action));
+    const Duration delay = std::uniform_real_distribution<double>(0, 1)(this->random) * (maxDelay - minDelay);
+    this->delayed.emplace(controlNow() + minDelay + delay, std::move(action));
 }
 
 void PlatformWorkers::run()
@@ -330,37 +331,37 @@
         this->delayed.erase(this->delayed.begin());
         action();
     }
-    this->answerHeld();
-    this->endCrashed(ended);
-    this->announceDue();
+    this->answerHeldPolls();
+    this->restartCrashed(ended);
+    this->sendDueHeartbeats();
     for (auto &[name, seat] : this->seats) {
         if (seat.server && seat.leavesAt <= controlNow()) {
-            this->send("DELETE", name, seat.incarnation, seat.keepsId ? Json{{"born", seat.incarnation.born}}.dump() : "", heartbeatTries);
-            ended.push_back(this->end(seat));
+            this->send("DELETE", name, seat.incarnation, seat.keepsId ? Json{{"born", seat.incarnation.born}}.dump() : "", heartbeatAttempts);
+            ended.push_back(this->endIncarnation(seat));
         }
     }
 }
 
-void PlatformWorkers::endCrashed(std::vector<std::unique_ptr<http::HttpServer>> &ended)
+void PlatformWorkers::restartCrashed(std::vector<std::unique_ptr<http::HttpServer>> &ended)
 {
     for (auto &[name, seat] : this->seats) {
         if (!seat.server || !this->workers.workers[seat.incarnation.id].hasEnded) {
             continue;
         }
         ended.push_back(std::move(seat.server));
-        this->later(shortestCrash, longestCrash, [this, name = name] {
+        this->runLater(minRestartDelay, maxRestartDelay, [this, name = name] {
             this->mutex.AssertHeld();
             if (!this->seats.at(name).server) {
-                this->begin(this->seats.at(name), name);
+                this->startIncarnation(this->seats.at(name), name);
             }
         });
     }
 }
 
-void PlatformWorkers::answerHeld()
+void PlatformWorkers::answerHeldPolls()
 {
-    const std::vector<Received> waiting = std::exchange(this->held, {});
-    for (const Received &received : waiting) {
+    const std::vector<Received> polls = std::exchange(this->held, {});
+    for (const Received &received : polls) {
         const execution::FakeWorkers::Worker &worker = this->workers.workers[received.incarnation.id];
         if (worker.hasEnded || worker.born != received.incarnation.born || !worker.ended.empty() || received.due <= controlNow()) {
             write(*received.exchange, this->execute(received));
@@ -370,13 +371,13 @@
     }
 }
 
-void PlatformWorkers::announceDue()
+void PlatformWorkers::sendDueHeartbeats()
 {
     const Timestamp now = controlNow();
     for (auto &[name, seat] : this->seats) {
         if (seat.server && seat.nextHeartbeat <= now) {
             seat.nextHeartbeat = now + heartbeatInterval;
-            this->send("PUT", name, seat.incarnation, this->announcementOf(seat), heartbeatTries);
+            this->send("PUT", name, seat.incarnation, this->announcementOf(seat), heartbeatAttempts);
         }
     }
 }
@@ -403,21 +404,21 @@
     return body.dump();
 }
 
-void PlatformWorkers::send(const std::string &method, const std::string &name, const workload::Incarnation &life, const std::string &body, int tries)
+void PlatformWorkers::send(const std::string &method, const std::string &name, const workload::Incarnation &incarnation, const std::string &body, int attempts)
 {
     http::OutgoingRequest request;
     request.method = method;
-    request.url = absl::StrCat("http://", this->control(), "/api/instances/", life.id);
+    request.url = absl::StrCat("http://", this->control(), "/api/instances/", incarnation.id);
     request.body = body;
-    request.timeout = heartbeatPatience;
-    this->pool.start(request, [this, method, name, life, body, tries](const http::TransferResult &result) {
+    request.timeout = heartbeatTimeout;
+    this->pool.start(request, [this, method, name, incarnation, body, attempts](const http::TransferResult &result) {
         const bool isDone = result.isComplete && result.response.status == 200;
-        if (!isDone && tries > 1 && !this->stopping) {
-            this->send(method, name, life, body, tries - 1);
+        if (!isDone && attempts > 1 && !this->stopping) {
+            this->send(method, name, incarnation, body, attempts - 1);
         }
         const absl::MutexLock lock(&this->mutex);
         Seat &seat = this->seats.at(name);
-        if (isDone && seat.incarnation == life && seat.isDraining && body.find("draining") != std::string::npos) {
+        if (isDone && seat.incarnation == incarnation && seat.isDraining && body.find("draining") != std::string::npos) {
             seat.leavesAt = std::min(seat.leavesAt, controlNow() + drainTime + absl::Milliseconds(300));
         }
     });
--- a/testing/platformworkers.h
+++ b/testing/platformworkers.h
@@ -1,8 +1,8 @@
-// Stand-ins of the platform's workers, over HTTP: each announces itself and keeps the rules of runs, leases and fencing
-// tokens (paddlepier/execution/fakeworkers.h), or is in one stated kind of trouble.
+// Stand-ins for the platform's workers, over HTTP: each announces itself and follows the rules for runs, leases and fencing
+// tokens (paddlepier/execution/fakeworkers.h), or has one defined fault.
 //
-// A seat is an address, at which one life of a worker follows another: under a new id each, or, where the seat keeps its id, under the
-// same one, told apart by when they were born.
+// A seat is an address at which one incarnation of a worker succeeds another. Each incarnation has a new id or, where the seat keeps its
+// id, the same id and a different time of birth.
 //
 // Example:
 //     PlatformWorkers workers([] { return "127.0.7.1:8161"; }, [](const auto &task) -> const auto & { return step; });
@@ -35,39 +35,39 @@
 namespace paddlepier::testing
 {
 
-enum class WorkerTrouble {
+enum class WorkerFault {
     None,
-    /** Carries orders out at once, and answers after up to a second and a half. */
-    AnswersLate,
-    /** Carries orders out at once; the answers don't come while anyone waits for them. */
-    LosesAnswers,
-    /** Carries orders out up to three seconds late, newer ones often before older ones. */
-    OrdersLate
+    /** Executes orders immediately, and answers after up to a second and a half. */
+    DelayedAnswers,
+    /** Executes orders immediately; the answers arrive after every caller has timed out. */
+    LostAnswers,
+    /** Executes orders up to three seconds late, so that newer orders often overtake older ones. */
+    DelayedOrders
 };
 
 class PlatformWorkers
 {
 public:
-    /** @param controlAddress is asked for each call of a worker, on a thread of its own */
+    /** @param controlAddress returns the address for each call of a worker; it is called on the thread of this object */
     PlatformWorkers(std::function<std::string()> controlAddress, execution::FakeWorkers::Lookup lookup, std::uint64_t seed = 1);
     ~PlatformWorkers();
 
     PlatformWorkers(const PlatformWorkers &) = delete;
     PlatformWorkers &operator=(const PlatformWorkers &) = delete;
 
-    /** Begins the first life at a seat. */
+    /** Starts the first incarnation at a seat. */
     void add(const std::string &seat, const Endpoint &address, bool keepsId = false);
     void revive(const std::string &seat);
-    /** Ends the life at a seat; a heartbeat that it had sent arrives @p heartbeatLag later, if there is one. */
+    /** Ends the incarnation at a seat. If @p heartbeatLag is given, a heartbeat that it had sent arrives this much later. */
     void crash(const std::string &seat, std::optional<Duration> heartbeatLag);
-    /** The life says that it leaves; it ends two seconds after this was acknowledged, or after six. */
+    /** The incarnation announces that it drains; it ends two seconds after the acknowledgement, or after six seconds without one. */
     void drain(const std::string &seat);
-    void setTrouble(const std::string &seat, WorkerTrouble trouble);
-    /** Announces another room from now on; starts are held to a smaller one once leaders must have heard of it. */
+    void setFault(const std::string &seat, WorkerFault fault);
+    /** Announces another capacity from now on. A smaller one is enforced on starts once every leader must have learnt of it. */
     void setCapacity(const std::string &seat, std::uint32_t milliProcessors);
     bool isUp(const std::string &seat);
 
-    /** Does something with the state of all workers. */
+    /** Runs @p action on the state of all workers, with the lock held. */
     void inspect(const std::function<void(execution::FakeWorkers &)> &action);
     std::vector<std::string> violations();
 
@@ -80,10 +80,10 @@
         workload::Incarnation incarnation;
         std::uint32_t incarnations = 0;
         std::uint64_t sequence = 0;
-        WorkerTrouble trouble = WorkerTrouble::None;
-        /** As it announces it; each life begins with the whole of it. */
+        WorkerFault fault = WorkerFault::None;
+        /** The announced capacity; each incarnation starts with fullCapacity. */
         std::uint32_t milliProcessors = fullCapacity;
-        /** How often it has announced another room. */
+        /** Number of calls of setCapacity(). */
         std::uint32_t capacityChanges = 0;
         Timestamp nextHeartbeat = absl::InfinitePast();
         bool isDraining = false;
@@ -95,26 +95,26 @@
         workload::Incarnation incarnation;
         execution::WorkerCall call;
         std::shared_ptr<http::Exchange> exchange;
-        /** Of a poll: until when it waits for an end. */
+        /** For a poll: the time until which it waits for the end of a run. */
         Timestamp due = absl::InfinitePast();
     };
 
-    /** An order that comes to be carried out later finds its life over; nothing of it reaches the next one. */
+    /** Rejects an order whose incarnation has ended meanwhile, so that it doesn't reach the next incarnation. */
     execution::WorkerAnswer execute(const Received &received) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-    void begin(Seat &seat, const std::string &name) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-    std::unique_ptr<http::HttpServer> end(Seat &seat) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+    void startIncarnation(Seat &seat, const std::string &name) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+    std::unique_ptr<http::HttpServer> endIncarnation(Seat &seat) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     void receive(const std::string &name, const std::shared_ptr<http::Exchange> &exchange);
     void handle(const Received &received) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-    void handleInTrouble(WorkerTrouble trouble, const Received &received) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-    void later(Duration least, Duration most, std::function<void()> action) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+    void handleWithFault(WorkerFault fault, const Received &received) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+    void runLater(Duration minDelay, Duration maxDelay, std::function<void()> action) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     void run();
     void runDueActions();
-    /** Lives that a task has taken down; another one begins at the seat some time later. */
-    void endCrashed(std::vector<std::unique_ptr<http::HttpServer>> &ended) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-    void answerHeld() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-    void announceDue() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+    /** Handles incarnations that a task has crashed; another one starts at the seat some time later. */
+    void restartCrashed(std::vector<std::unique_ptr<http::HttpServer>> &ended) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+    void answerHeldPolls() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+    void sendDueHeartbeats() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
     std::string announcementOf(Seat &seat) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-    void send(const std::string &method, const std::string &name, const workload::Incarnation &life, const std::string &body, int tries);
+    void send(const std::string &method, const std::string &name, const workload::Incarnation &incarnation, const std::string &body, int attempts);
 
     const std::function<std::string()> control;
     absl::Mutex mutex;
@@ -123,7 +123,7 @@
     std::vector<Received> held ABSL_GUARDED_BY(mutex);
     std::multimap<Timestamp, std::function<void()>> delayed ABSL_GUARDED_BY(mutex);
     std::mt19937_64 random ABSL_GUARDED_BY(mutex);
-    // Used by the thread alone.
+    // Used only by the thread.
     http::TransferPool pool;
     std::atomic<bool> stopping{false};
     std::thread thread;
--- a/testing/property.h
+++ b/testing/property.h
@@ -1,7 +1,7 @@
-// Sizes of randomised tests.
+// Scenario counts and seeds of randomised tests.
 //
-// CI runs a fixed number of scenarios from fixed seeds; PADDLEPIER_SCENARIO_FACTOR multiplies it for long runs, and
-// PADDLEPIER_SCENARIO_BASE moves the seeds (see scripts/fuzz.sh).
+// CI runs a fixed number of scenarios from fixed seeds; PADDLEPIER_SCENARIO_FACTOR multiplies the number for long runs, and
+// PADDLEPIER_SCENARIO_BASE shifts the seeds (see scripts/fuzz.sh).
 
 #ifndef PADDLEPIER_TESTING_PROPERTY_H
 #define PADDLEPIER_TESTING_PROPERTY_H
@@ -19,10 +19,10 @@
     return text == nullptr ? fallback : std::stoull(text);
 }
 
-/** How many scenarios to run where CI runs @p usual. */
-inline std::uint64_t scenarios(std::uint64_t usual)
+/** Number of scenarios to run where CI runs @p defaultCount. */
+inline std::uint64_t scenarios(std::uint64_t defaultCount)
 {
-    return usual * environmentNumber("PADDLEPIER_SCENARIO_FACTOR", 1);
+    return defaultCount * environmentNumber("PADDLEPIER_SCENARIO_FACTOR", 1);
 }
 
 /** Added to every scenario's number to make its seed. */
--- a/testing/soak/cell.cpp
+++ b/testing/soak/cell.cpp
@@ -1,4 +1,4 @@
-// The processes, workers and links of one seed, and what each fault does to them.
+// The processes, workers and links of one seed, and the effect of each fault on them.
 
 #include "testing/soak/cell.h"
 
@@ -21,10 +21,10 @@
 constexpr std::uint16_t readyPort = 8163;
 constexpr std::uint16_t workerPort = 8000;
 
-/** Within this time of its start a process may not have got to its own code. */
+/** Until this time after its start, a process may not have reached its main() yet. */
 constexpr Duration startTime = absl::Milliseconds(500);
 
-/** `grace_s` of the platform's settings: a process that was told to stop is killed after it. */
+/** `grace_s` of the platform's settings: a process that still runs this long after SIGTERM is killed. */
 constexpr Duration graceTime = absl::Seconds(6);
 
 std::string workerHost(std::uint32_t worker)
@@ -32,8 +32,8 @@
     return absl::StrCat("127.7.3.", worker + 1);
 }
 
-/** Whether a run fails by its task's fault: as often as its payload says, in per cent. */
-bool fails(const std::string &payload, const workload::TaskKey &task, std::uint32_t run)
+/** Whether a run fails because of its task; the payload determines the percentage of runs that do. */
+bool shouldFail(const std::string &payload, const workload::TaskKey &task, std::uint32_t run)
 {
     const std::size_t rate = absl::StartsWith(payload, "hopeless") ? 100 : absl::StartsWith(payload, "flaky") ? 30 : 0;
     return std::hash<std::string>()(absl::StrCat(task.text(), "/", run)) % 100 < rate;
@@ -41,11 +41,11 @@
 
 } // namespace
 
-Cell::Cell(Sizes cellSizes, std::uint64_t seed, std::string cellFolder, std::string programFolder, Checker &judge)
+Cell::Cell(Sizes cellSizes, std::uint64_t seed, std::string cellFolder, std::string programFolder, Checker &violationChecker)
     : sizes(cellSizes)
     , folder(std::move(cellFolder))
     , programs(std::move(programFolder))
-    , checker(judge)
+    , checker(violationChecker)
 {
     for (std::uint32_t core = 0; core < this->sizes.cores; ++core) {
         this->addInstance("core", absl::StrCat("127.7.1.", core + 1));
@@ -59,12 +59,12 @@
         [this](const workload::TaskKey &task) -> const work::StepSpecT & { return this->checker.stepOf(task); },
         seed);
     this->workers->inspect([this](execution::FakeWorkers &fake) {
-        fake.observer = [this](const Checker::Event &event) { this->checker.observed(event, controlNow()); };
+        fake.observer = [this](const Checker::Event &event) { this->checker.recordEvent(event, controlNow()); };
         fake.isCrashing = [this](const workload::TaskKey &task, std::uint32_t) { return this->checker.payloadOf(task.job) == crashingPayload; };
-        fake.isFailing = [this](const workload::TaskKey &task, std::uint32_t run) { return fails(this->checker.payloadOf(task.job), task, run); };
+        fake.isFailing = [this](const workload::TaskKey &task, std::uint32_t run) { return shouldFail(this->checker.payloadOf(task.job), task, run); };
     });
     for (std::uint32_t worker = 0; worker < this->sizes.workers; ++worker) {
-        // Every other one starts again under the id that it had.
+        // Every second worker keeps its id when it restarts.
         this->workers->add(workerHost(worker), {workerHost(worker), workerPort}, worker % 2 == 1);
     }
     for (const auto &instance : this->instances) {
@@ -182,7 +182,7 @@
     }
 }
 
-void Cell::watch()
+void Cell::supervise()
 {
     const Timestamp now = controlNow();
     for (const auto &instance : this->instances) {
@@ -190,7 +190,7 @@
         if (!instance->process->hasEnded()) {
             if (isStopping && now > absl::FromUnixMicros(instance->stopMicros) + graceTime) {
                 if (!instance->isPaused) {
-                    this->checker.violation(absl::StrCat(instance->node.host, " is still there at the end of the grace time"));
+                    this->checker.violation(absl::StrCat(instance->node.host, " still runs at the end of the grace time"));
                 }
                 this->kill(*instance, absl::ZeroDuration());
             }
@@ -201,8 +201,8 @@
                 link.forwarder->setTargetRunning(false);
             }
         }
-        if (!instance->isKilled && !endedAsTold(*instance)) {
-            this->checker.violation(absl::StrCat(instance->node.host, " has ended by itself with status ", instance->process->wait()));
+        if (!instance->isKilled && !hasEndedAsExpected(*instance)) {
+            this->checker.violation(absl::StrCat(instance->node.host, " ended unexpectedly with status ", instance->process->wait()));
         }
         if (now >= instance->downUntil) {
             this->start(*instance);
@@ -210,9 +210,9 @@
     }
 }
 
-bool Cell::endedAsTold(Instance &instance)
+bool Cell::hasEndedAsExpected(Instance &instance)
 {
-    // A process that is told to stop before its own code runs ends by the signal.
+    // SIGTERM kills a process that has not installed its signal handling yet.
     const bool isEarly = absl::FromUnixMicros(instance.stopMicros) < instance.startedAt + startTime;
     const int status = instance.process->wait();
     return instance.stopMicros != 0 && (status == 0 || (isEarly && status == 128 + SIGTERM));
@@ -245,7 +245,7 @@
         this->pause(instance);
         break;
     default:
-        fault.kind >= FaultKind::CrashWorker ? this->disturbWorker(fault, false) : this->disturbLinks(fault, false);
+        fault.kind >= FaultKind::CrashWorker ? this->applyWorkerFault(fault, false) : this->applyLinkFault(fault, false);
     }
 }
 
@@ -254,13 +254,13 @@
     if (fault.kind == FaultKind::PauseCore || fault.kind == FaultKind::PauseEntry) {
         this->resume(*this->instances[fault.target + (fault.kind == FaultKind::PauseEntry ? this->sizes.cores : 0)]);
     } else if (fault.kind >= FaultKind::CrashWorker) {
-        this->disturbWorker(fault, true);
+        this->applyWorkerFault(fault, true);
     } else if (fault.kind >= FaultKind::DelayLinks) {
-        this->disturbLinks(fault, true);
+        this->applyLinkFault(fault, true);
     }
 }
 
-void Cell::disturbLinks(const Fault &fault, bool isOver)
+void Cell::applyLinkFault(const Fault &fault, bool isEnd)
 {
     const std::string &host = this->instances[fault.target]->node.host;
     for (std::size_t index = 0; index < this->links.size(); ++index) {
@@ -270,12 +270,12 @@
             continue;
         }
         if (fault.kind == FaultKind::DelayLinks) {
-            link.forwarder->setDelay(isOver ? absl::ZeroDuration() : absl::Milliseconds(10 + fault.part / 3));
+            link.forwarder->setDelay(isEnd ? absl::ZeroDuration() : absl::Milliseconds(10 + fault.part / 3));
         } else if (fault.kind == FaultKind::CutLinks) {
-            // What the target sends is lost, or what is sent to it.
+            // Loses either the data that the target sends, or the data that is sent to it.
             const bool losesOwn = fault.part % 2 == 0;
-            link.forwarder->setLost(isOutgoing == losesOwn ? Direction::ToTarget : Direction::FromTarget, !isOver);
-        } else if (!isOver) {
+            link.forwarder->setLoss(isOutgoing == losesOwn ? Direction::ToTarget : Direction::FromTarget, !isEnd);
+        } else if (!isEnd) {
             fault.kind == FaultKind::SilenceLinks ? link.forwarder->silenceAll() : link.forwarder->resetAll();
         }
     }
@@ -291,16 +291,16 @@
     }
 }
 
-void Cell::disturbWorker(const Fault &fault, bool isOver)
+void Cell::applyWorkerFault(const Fault &fault, bool isEnd)
 {
     const std::string host = workerHost(fault.target);
-    if (fault.kind == FaultKind::ShrinkRoom) {
-        const std::uint32_t whole = PlatformWorkers::fullCapacity;
-        this->workers->setCapacity(host, isOver ? whole : fault.part * whole / maxPart);
+    if (fault.kind == FaultKind::ReduceCapacity) {
+        const std::uint32_t full = PlatformWorkers::fullCapacity;
+        this->workers->setCapacity(host, isEnd ? full : fault.part * full / maxPart);
         return;
     }
     if (fault.kind == FaultKind::CrashWorker || fault.kind == FaultKind::DrainWorker) {
-        if (isOver) {
+        if (isEnd) {
             this->setWorkerLinks(host, true);
             this->workers->revive(host);
         } else if (fault.kind == FaultKind::DrainWorker) {
@@ -311,10 +311,10 @@
         }
         return;
     }
-    const WorkerTrouble trouble = fault.kind == FaultKind::WorkerAnswersLate    ? WorkerTrouble::AnswersLate
-                                  : fault.kind == FaultKind::WorkerLosesAnswers ? WorkerTrouble::LosesAnswers
-                                                                                : WorkerTrouble::OrdersLate;
-    this->workers->setTrouble(host, isOver ? WorkerTrouble::None : trouble);
+    const WorkerFault workerFault = fault.kind == FaultKind::DelayWorkerAnswers  ? WorkerFault::DelayedAnswers
+                                    : fault.kind == FaultKind::LoseWorkerAnswers ? WorkerFault::LostAnswers
+                                                                                 : WorkerFault::DelayedOrders;
+    this->workers->setFault(host, isEnd ? WorkerFault::None : workerFault);
 }
 
 void Cell::heal()
@@ -325,11 +325,11 @@
     }
     for (const Link &link : this->links) {
         link.forwarder->setDelay(absl::ZeroDuration());
-        link.forwarder->setLost(Direction::ToTarget, false);
-        link.forwarder->setLost(Direction::FromTarget, false);
+        link.forwarder->setLoss(Direction::ToTarget, false);
+        link.forwarder->setLoss(Direction::FromTarget, false);
     }
     for (std::uint32_t worker = 0; worker < this->sizes.workers; ++worker) {
-        this->workers->setTrouble(workerHost(worker), WorkerTrouble::None);
+        this->workers->setFault(workerHost(worker), WorkerFault::None);
         this->workers->setCapacity(workerHost(worker), PlatformWorkers::fullCapacity);
         this->setWorkerLinks(workerHost(worker), true);
         this->workers->revive(workerHost(worker));
@@ -352,7 +352,7 @@
     return micros == 0 ? absl::InfiniteFuture() : absl::FromUnixMicros(micros);
 }
 
-std::vector<std::string> Cell::problems()
+std::vector<std::string> Cell::violations()
 {
     return this->workers->violations();
 }
--- a/testing/soak/cell.h
+++ b/testing/soak/cell.h
@@ -1,9 +1,9 @@
-// The processes, workers and links of one seed, and what each fault does to them.
+// The processes, workers and links of one seed, and the effect of each fault on them.
 //
-// Every core and entry has a loopback of its own; forwarders stand on each link between them, to the workers, and from
-// callers, operators and workers. Processes are ended by their ids alone.
+// Every core and entry has a separate loopback interface, and each link between them, to the workers, and from callers,
+// operators and workers goes through a forwarder. Processes are signalled only by their pids.
 //
-// Thread safety: front(), control() and stopAt() from any thread; the rest on one.
+// Thread safety: front(), control() and stopAt() from any thread; all other methods from one thread.
 
 #ifndef PADDLEPIER_TESTING_SOAK_CELL_H
 #define PADDLEPIER_TESTING_SOAK_CELL_H
@@ -35,17 +35,17 @@
 
     void begin(const Fault &fault);
     void end(const Fault &fault);
-    /** Ends all faults; what is still on its way down comes back in watch(). */
+    /** Ends all faults; processes that are stopping or down are restarted by supervise(). */
     void heal();
-    /** Starts again what has ended, and judges how it did; to be called every few milliseconds. */
-    void watch();
+    /** Restarts processes that have ended, and reports unexpected ends as violations; call it every few milliseconds. */
+    void supervise();
 
     Endpoint front(std::uint32_t entry) const;
     Endpoint control(std::uint32_t core) const;
-    /** When an entry was last told to stop as planned. */
+    /** When an entry last received SIGTERM for a planned stop; infinite future if not since its start. */
     Timestamp stopAt(std::uint32_t entry) const;
-    /** Problems that the workers saw. */
-    std::vector<std::string> problems();
+    /** Violations that the workers detected. */
+    std::vector<std::string> violations();
 
 private:
     struct Instance {
@@ -72,9 +72,9 @@
     void kill(Instance &instance, Duration length);
     void pause(Instance &instance);
     void resume(Instance &instance);
-    static bool endedAsTold(Instance &instance);
-    void disturbLinks(const Fault &fault, bool isOver);
-    void disturbWorker(const Fault &fault, bool isOver);
+    static bool hasEndedAsExpected(Instance &instance);
+    void applyLinkFault(const Fault &fault, bool isEnd);
+    void applyWorkerFault(const Fault &fault, bool isEnd);
     void setWorkerLinks(const std::string &host, bool isUp);
 
     const Sizes sizes;
--- a/testing/soak/checker.cpp
+++ b/testing/soak/checker.cpp
@@ -1,4 +1,4 @@
-// What callers, operators and workers have seen, and which promises it breaks.
+// Records what callers, operators and workers observe, and detects violations of the platform's rules.
 
 #include "testing/soak/checker.h"
 
@@ -13,13 +13,13 @@
 namespace
 {
 
-/** `loss_slack_ms` of the platform's settings: a call that is cut sooner after it was sent isn't counted. */
+/** `loss_slack_ms` of the platform's settings: a call that is cut within this time of being sent does not count as lost. */
 constexpr Duration lossSlack = absl::Milliseconds(200);
 
-/** `grace_s` of the platform's settings and the second after it. */
-constexpr Duration stopTime = absl::Seconds(7);
+/** `grace_s` of the platform's settings plus one second: calls that break in this time are attributed to the planned stop. */
+constexpr Duration stopWindow = absl::Seconds(7);
 
-/** Statuses that end a call of the operator for good. */
+/** Statuses after which an operator does not retry its call. */
 bool isRefusal(int status)
 {
     return status == 400 || status == 409 || status == 412 || status == 413 || status == 422;
@@ -33,23 +33,23 @@
 
 } // namespace
 
-void Checker::add(const std::string &text)
+void Checker::addViolation(const std::string &text)
 {
-    if (std::find(this->found.begin(), this->found.end(), text) == this->found.end()) {
-        this->found.push_back(text);
+    if (std::find(this->foundViolations.begin(), this->foundViolations.end(), text) == this->foundViolations.end()) {
+        this->foundViolations.push_back(text);
     }
 }
 
 void Checker::violation(const std::string &text)
 {
     const absl::MutexLock lock(&this->mutex);
-    this->add(text);
+    this->addViolation(text);
 }
 
 std::vector<std::string> Checker::violations()
 {
     const absl::MutexLock lock(&this->mutex);
-    return this->found;
+    return this->foundViolations;
 }
 
 void Checker::submitSent(const std::string &job, const work::JobSpecT &spec)
@@ -59,21 +59,21 @@
     if (record.spec.steps.empty()) {
         record.spec = spec;
     }
-    ++record.underWay;
+    ++record.submitsInFlight;
 }
 
 void Checker::submitEnded(const std::string &job, const Reply &reply)
 {
     const absl::MutexLock lock(&this->mutex);
     Job &record = this->jobs.at(job);
-    --record.underWay;
+    --record.submitsInFlight;
     ++this->answers;
     const bool isRejected = reply.ending == Ending::NotConnected || reply.status == 503 || reply.status == 429;
     if (reply.status == 200 && !record.isAccepted) {
         record.isAccepted = true;
         record.acceptedAt = reply.endedAt;
     } else if (reply.ending == Ending::Answered && reply.status >= 400 && reply.status < 500 && reply.status != 429) {
-        this->add(absl::StrCat("LOST: a valid job was answered ", reply.status, ": ", job));
+        this->addViolation(absl::StrCat("LOST: a valid job was rejected with status ", reply.status, ": ", job));
     }
     record.isUnclear = record.isUnclear || (!isRejected && reply.status != 200);
     this->checkRefused(job, record);
@@ -81,8 +81,8 @@
 
 void Checker::checkRefused(const std::string &id, const Job &job)
 {
-    if (job.hasStarted && job.underWay == 0 && !job.isUnclear && !job.isAccepted) {
-        this->add(absl::StrCat("REFUSED: a task of a job that was never accepted has started: ", id));
+    if (job.hasStarted && job.submitsInFlight == 0 && !job.isUnclear && !job.isAccepted) {
+        this->addViolation(absl::StrCat("REFUSED: a task of a job that was never accepted started: ", id));
     }
 }
 
@@ -103,11 +103,11 @@
     const absl::MutexLock lock(&this->mutex);
     Job &record = this->jobs.at(job);
     if (reply.status == 410 && record.isAccepted && record.acceptedAt < reply.sentAt && !record.isCancelSent) {
-        this->add(absl::StrCat("LOST: 410 for an accepted job: ", job));
+        this->addViolation(absl::StrCat("LOST: 410 for an accepted job: ", job));
     }
     record.isUnknown = reply.status == 410 || (record.isUnknown && reply.status != 200);
     if (reply.status == 404) {
-        this->add(absl::StrCat("CONFIG: 404 for a queue that every version has: ", job));
+        this->addViolation(absl::StrCat("CONFIG: 404 for a queue that every version contains: ", job));
     }
     if (reply.status == 200) {
         const nlohmann::json body = nlohmann::json::parse(reply.body, nullptr, false);
@@ -117,18 +117,18 @@
 
 void Checker::checkState(const std::string &id, Job &job, const std::string &state)
 {
-    const bool wasOver = job.state == "completed" || job.state == "failed";
-    if (wasOver && state != job.state && !job.isCancelSent) {
-        this->add(absl::StrCat("MIXED: ", id, " was shown as ", job.state, " and then as ", state));
+    const bool hadEnded = job.state == "completed" || job.state == "failed";
+    if (hadEnded && state != job.state && !job.isCancelSent) {
+        this->addViolation(absl::StrCat("MIXED: ", id, " was shown as ", job.state, " and then as ", state));
     }
     const auto isDone = [&](std::uint32_t step) { return isStepDone(id, job, step); };
     for (std::uint32_t step = 0; state == "completed" && step < job.spec.steps.size(); ++step) {
         if (!isDone(step) || job.spec.steps[step]->isLasting) {
-            this->add(absl::StrCat("MIXED: ", id, " is shown as completed, and step ", step, " isn't done"));
+            this->addViolation(absl::StrCat("MIXED: ", id, " is shown as completed, and step ", step, " isn't done"));
         }
     }
     if ((state == "failed" && !hasFailed(job)) || (state == "cancelled" && !job.isCancelSent)) {
-        this->add(absl::StrCat("LOST: ", id, " is shown as ", state, " without cause"));
+        this->addViolation(absl::StrCat("LOST: ", id, " is shown as ", state, " without cause"));
     }
     job.state = state;
 }
@@ -173,7 +173,7 @@
     return std::any_of(job.spec.steps.begin(), job.spec.steps.end(), [](const auto &step) { return step->isLasting; });
 }
 
-void Checker::observed(const Event &event, Timestamp now)
+void Checker::recordEvent(const Event &event, Timestamp now)
 {
     const absl::MutexLock lock(&this->mutex);
     const auto found = this->jobs.find(event.task.job);
@@ -196,11 +196,11 @@
         break;
     case EventKind::Acknowledged:
         for (End &end : task.ends) {
-            end.isNoted = end.isNoted || (end.run == event.run && end.kind == event.end);
+            end.isAcknowledged = end.isAcknowledged || (end.run == event.run && end.kind == event.end);
         }
         break;
     }
-    this->checkAgain(event.task, job);
+    this->checkRepeatedStarts(event.task, job);
     this->checkRefused(event.task.job, job);
 }
 
@@ -208,12 +208,12 @@
 {
     for (const std::uint32_t earlier : job.spec.steps[task.step]->after) {
         if (!isStepDone(task.job, job, earlier)) {
-            this->add(absl::StrCat("ORDER: ", task.text(), " has started before step ", earlier, " was done"));
+            this->addViolation(absl::StrCat("ORDER: ", task.text(), " started before step ", earlier, " was done"));
         }
     }
 }
 
-void Checker::checkAgain(const workload::TaskKey &key, const Job &job)
+void Checker::checkRepeatedStarts(const workload::TaskKey &key, const Job &job)
 {
     const Task &task = job.tasks.at(key);
     const bool isLasting = job.spec.steps[key.step]->isLasting;
@@ -221,22 +221,22 @@
         std::uint32_t failed = 0;
         bool isDone = false;
         for (const End &end : task.ends) {
-            const bool counts = end.isNoted && end.at < start;
+            const bool counts = end.isAcknowledged && end.at < start;
             failed += counts && end.kind == work::RunEndKind::Failed ? 1 : 0;
             isDone = isDone || (counts && end.kind == work::RunEndKind::Done);
         }
         if (isDone && !isLasting) {
-            this->add(absl::StrCat("TWICE: ", key.text(), " has started after its end as done, which was taken note of"));
+            this->addViolation(absl::StrCat("TWICE: ", key.text(), " started again after its end as done had been acknowledged"));
         }
         if (failed >= attemptsPerTask && !isLasting) {
-            this->add(absl::StrCat("BUDGET: ", key.text(), " has started after ", failed, " failed runs"));
+            this->addViolation(absl::StrCat("BUDGET: ", key.text(), " started after ", failed, " failed runs"));
         }
     }
 }
 
 const work::StepSpecT &Checker::stepOf(const workload::TaskKey &task)
 {
-    static const work::StepSpecT unasked = [] {
+    static const work::StepSpecT placeholder = [] {
         work::StepSpecT step;
         step.count = 1;
         step.demand = std::make_unique<work::Demand>(1, 1, 0);
@@ -245,8 +245,8 @@
     const absl::MutexLock lock(&this->mutex);
     const auto found = this->jobs.find(task.job);
     if (found == this->jobs.end() || task.step >= found->second.spec.steps.size() || task.index >= found->second.spec.steps[task.step]->count) {
-        this->add(absl::StrCat("UNASKED: ", task.text(), " belongs to no job that was sent"));
-        return unasked;
+        this->addViolation(absl::StrCat("UNASKED: ", task.text(), " belongs to no submitted job"));
+        return placeholder;
     }
     return *found->second.spec.steps[task.step];
 }
@@ -268,11 +268,11 @@
 {
     const absl::MutexLock lock(&this->mutex);
     if (reply.status == 200 && version == 0) {
-        this->add("CONFIG: an invalid configuration was acknowledged");
+        this->addViolation("CONFIG: an invalid configuration was acknowledged");
     } else if (reply.status == 200) {
         this->acknowledged.emplace_back(reply.endedAt, version);
     } else if (version != 0 && isRefusal(reply.status)) {
-        this->add(absl::StrCat("CONFIG: the valid configuration ", version, " was refused with ", reply.status));
+        this->addViolation(absl::StrCat("CONFIG: the valid configuration ", version, " was refused with ", reply.status));
     }
 }
 
@@ -285,11 +285,11 @@
     const std::uint64_t version = versionOf(reply.body);
     const auto sent = this->sentConfigurations.find(version);
     if (version == 0 || sent == this->sentConfigurations.end() || sent->second != reply.body) {
-        this->add(absl::StrCat("CONFIG: version ", version, " is read back with content that wasn't sent"));
+        this->addViolation(absl::StrCat("CONFIG: version ", version, " was read back with content that was not sent"));
     }
     for (const auto &[at, known] : this->acknowledged) {
         if (at < reply.sentAt && known > version) {
-            this->add(absl::StrCat("CONFIG: version ", version, " is read after ", known, " was acknowledged"));
+            this->addViolation(absl::StrCat("CONFIG: version ", version, " was read after ", known, " had been acknowledged"));
         }
     }
 }
@@ -297,16 +297,16 @@
 void Checker::callEnded(const Reply &reply, Timestamp stopAt)
 {
     const absl::MutexLock lock(&this->mutex);
-    const bool isPlanned = stopAt <= reply.endedAt && reply.endedAt <= stopAt + stopTime;
-    if (reply.ending == Ending::Broken && isPlanned && reply.endedAt - reply.sentAt > lossSlack && !this->isDisturbed) {
-        this->add(absl::StrCat("LOST: a planned stop cut a call ", absl::FormatDuration(reply.endedAt - reply.sentAt), " after it was sent"));
+    const bool isPlanned = stopAt <= reply.endedAt && reply.endedAt <= stopAt + stopWindow;
+    if (reply.ending == Ending::Broken && isPlanned && reply.endedAt - reply.sentAt > lossSlack && !this->hasFaults) {
+        this->addViolation(absl::StrCat("LOST: a planned stop cut a call ", absl::FormatDuration(reply.endedAt - reply.sentAt), " after it was sent"));
     }
 }
 
-void Checker::disturbed()
+void Checker::markFaultsStarted()
 {
     const absl::MutexLock lock(&this->mutex);
-    this->isDisturbed = true;
+    this->hasFaults = true;
 }
 
 std::vector<std::string> Checker::unsettledJobs()
@@ -314,8 +314,8 @@
     const absl::MutexLock lock(&this->mutex);
     std::vector<std::string> ids;
     for (const auto &[id, job] : this->jobs) {
-        const bool isOver = job.state == "completed" || job.state == "failed" || job.state == "cancelled" || job.isUnknown;
-        if ((job.isAccepted || job.isUnclear) && !isOver) {
+        const bool hasEnded = job.state == "completed" || job.state == "failed" || job.state == "cancelled" || job.isUnknown;
+        if ((job.isAccepted || job.isUnclear) && !hasEnded) {
             ids.push_back(id);
         }
     }
@@ -341,11 +341,11 @@
     for (const auto &[key, task] : job.tasks) {
         running += task.running.empty() ? 0 : 1;
     }
-    const bool isOver = job.state == "completed" || job.state == "failed" || job.state == "cancelled" || job.isUnknown;
-    if ((job.isCancelled || isOver) && running > 0) {
-        return absl::StrCat(running, " tasks run on after the job's end or cancelling");
+    const bool hasEnded = job.state == "completed" || job.state == "failed" || job.state == "cancelled" || job.isUnknown;
+    if ((job.isCancelled || hasEnded) && running > 0) {
+        return absl::StrCat(running, " tasks still run after the job has ended or was cancelled");
     }
-    if ((!job.isAccepted && !job.isUnclear) || isOver || job.isCancelled) {
+    if ((!job.isAccepted && !job.isUnclear) || hasEnded || job.isCancelled) {
         return "";
     }
     std::size_t wanted = 0;
--- a/testing/soak/checker.h
+++ b/testing/soak/checker.h
@@ -1,8 +1,9 @@
-// What callers, operators and workers have seen, and which promises it breaks.
+// Records what callers, operators and workers observe, and detects violations of the platform's rules.
 //
-// The names in capitals are those of the platform's rules. Two runs of one task at a time, and a worker over its capacity,
-// are judged where they happen (paddlepier/execution/fakeworkers.h). Bounds are stricter than the platform's where ours
-// hold at every moment: a job's state and the configuration are asked of the leader alone.
+// The names in capitals are those of the platform's rules. Concurrent runs of one task, and workers beyond their capacity,
+// are detected by the stand-in workers (paddlepier/execution/fakeworkers.h). Some checks are stricter than the platform's,
+// because paddlepier guarantees more: only the leader answers reads of a job's state and of the configuration, so these are
+// never outdated.
 //
 // Thread safety: all methods from any thread.
 
@@ -25,10 +26,10 @@
 /** `max_attempts` of every queue of the soak. */
 constexpr std::uint32_t attemptsPerTask = 3;
 
-/** Payload of jobs whose tasks take their workers down. */
+/** Payload of jobs whose tasks crash their workers. */
 constexpr const char *crashingPayload = "crashing";
 
-/** Workers that must have been lost under a task before it may be given up. */
+/** Number of workers that must have been lost while running a task before the task may be abandoned. */
 constexpr std::size_t minLossesToAbandon = 2;
 
 class Checker
@@ -37,38 +38,38 @@
     using Event = execution::FakeWorkers::Event;
     using EventKind = execution::FakeWorkers::EventKind;
 
-    /** A call that hands a job in begins, the first one or a repeated one. */
+    /** A call that submits a job is sent, for the first time or again. */
     void submitSent(const std::string &job, const work::JobSpecT &spec);
     void submitEnded(const std::string &job, const Reply &reply);
     void cancelSent(const std::string &job);
     void cancelEnded(const std::string &job, const Reply &reply);
-    /** REFUSED, MIXED, LOST: an answer to a question for the job's state. */
+    /** REFUSED, MIXED, LOST: a query of the job's state was answered. */
     void stateEnded(const std::string &job, const Reply &reply);
 
-    /** ORDER, TWICE, BUDGET, UNASKED: what a worker did. */
-    void observed(const Event &event, Timestamp now);
-    /** The step of a task; of one that nobody asked for, some step. */
+    /** ORDER, TWICE, BUDGET, UNASKED: an event at a worker. */
+    void recordEvent(const Event &event, Timestamp now);
+    /** The step of a task; a placeholder for a task of no submitted job, which is reported. */
     const work::StepSpecT &stepOf(const workload::TaskKey &task);
     std::string payloadOf(const std::string &job);
 
-    /** CONFIG: @p body is sent as @p version; valid unless the version is 0. */
+    /** CONFIG: @p body is about to be sent as @p version; version 0 stands for an invalid configuration. */
     void configurationSent(std::uint64_t version, const std::string &body);
     void configurationEnded(std::uint64_t version, const Reply &reply);
     void configurationRead(const Reply &reply);
 
-    /** LOST around planned work: a call at an instance that was told to stop at @p stopAt, if ever, has ended. */
+    /** LOST during planned stops: a call to an instance that received SIGTERM at @p stopAt, if at all, has ended. */
     void callEnded(const Reply &reply, Timestamp stopAt);
-    /** From now on there are faults, not just planned stops and changes. */
-    void disturbed();
+    /** From now on faults occur in addition to planned stops and changes. */
+    void markFaultsStarted();
 
     void violation(const std::string &text);
     std::vector<std::string> violations();
 
-    /** Jobs that callers must go on asking for: accepted or unclear, and neither ended nor cancelled as far as was shown. */
+    /** Jobs whose state must be queried again: possibly accepted, and not reported as ended or cancelled yet. */
     std::vector<std::string> unsettledJobs();
-    /** Why jobs that were accepted don't stand as they should once all is calm; empty if all do. */
+    /** Accepted jobs that are not in the expected state, with the reason; must become empty after all faults have ended. */
     std::vector<std::string> unsettled();
-    /** Counts for the report. */
+    /** Counts for the report of a seed. */
     std::string summary();
 
 private:
@@ -76,7 +77,7 @@
         Timestamp at;
         work::RunEndKind kind = work::RunEndKind::Done;
         std::uint32_t run = 0;
-        bool isNoted = false;
+        bool isAcknowledged = false;
     };
     struct Task {
         std::vector<Timestamp> starts;
@@ -86,7 +87,7 @@
     struct Job {
         work::JobSpecT spec;
         std::map<workload::TaskKey, Task> tasks;
-        std::uint32_t underWay = 0;
+        std::uint32_t submitsInFlight = 0;
         bool hasStarted = false;
         bool isUnclear = false;
         bool isAccepted = false;
@@ -97,10 +98,10 @@
         std::string state;
     };
 
-    void add(const std::string &text);
+    void addViolation(const std::string &text);
     void checkRefused(const std::string &id, const Job &job);
     void checkStart(const workload::TaskKey &task, const Job &job);
-    void checkAgain(const workload::TaskKey &task, const Job &job);
+    void checkRepeatedStarts(const workload::TaskKey &task, const Job &job);
     void checkState(const std::string &id, Job &job, const std::string &state);
     static bool isStepDone(const std::string &id, const Job &job, std::uint32_t step);
     static bool hasFailed(const Job &job);
@@ -111,8 +112,8 @@
     std::map<std::string, Job> jobs;
     std::map<std::uint64_t, std::string> sentConfigurations;
     std::vector<std::pair<Timestamp, std::uint64_t>> acknowledged;
-    bool isDisturbed = false;
-    std::vector<std::string> found;
+    bool hasFaults = false;
+    std::vector<std::string> foundViolations;
     std::size_t starts = 0;
     std::size_t answers = 0;
 };
--- a/testing/soak/checker_test.cpp
+++ b/testing/soak/checker_test.cpp
@@ -1,4 +1,5 @@
-// The checker of the soak finds what it is there to find, and nothing in a history that keeps the promises.
+// The soak's checker must report each kind of violation, and nothing for a correct history. Otherwise the soak would pass over
+// real faults, or fail without one.
 
 #include "platform/codec.h"
 #include "testing/soak/checker.h"
@@ -40,7 +41,7 @@
     void see(execution::FakeWorkers::EventKind kind, std::uint32_t step, std::uint32_t run, RunEndKind end = RunEndKind::Done)
     {
         this->now += absl::Milliseconds(10);
-        this->checker.observed({kind, "w", workload::TaskKey(job, 0, step, 0), run, end}, this->now);
+        this->checker.recordEvent({kind, "w", workload::TaskKey(job, 0, step, 0), run, end}, this->now);
     }
 
     void start(std::uint32_t step, std::uint32_t run)
@@ -48,10 +49,10 @@
         this->see(Checker::EventKind::Started, step, run);
     }
 
-    void end(std::uint32_t step, std::uint32_t run, RunEndKind kind, bool isNoted = true)
+    void end(std::uint32_t step, std::uint32_t run, RunEndKind kind, bool isAcknowledged = true)
     {
         this->see(Checker::EventKind::Ended, step, run, kind);
-        if (isNoted) {
+        if (isAcknowledged) {
             this->see(Checker::EventKind::Acknowledged, step, run, kind);
         }
     }
@@ -89,7 +90,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(CheckerFixture, "checker_historyThatKeepsThePromises_findsNothing")
+TEST_CASE_METHOD(CheckerFixture, "checker_correctHistory_reportsNothing")
 {
     this->submit(twoSteps, 504);
     this->submit(twoSteps, 200);
@@ -109,7 +110,7 @@
     CHECK(this->checker.unsettled().empty());
 }
 
-TEST_CASE_METHOD(CheckerFixture, "checker_startBeforeTheEarlierStepIsDone_isAgainstTheOrder")
+TEST_CASE_METHOD(CheckerFixture, "checker_startBeforePredecessorIsDone_reportsOrder")
 {
     this->submit(twoSteps, 200);
     this->start(0, 1);
@@ -117,7 +118,7 @@
     CHECK(this->hasFound("ORDER"));
 }
 
-TEST_CASE_METHOD(CheckerFixture, "checker_startAfterADoneEndThatIsNoted_isTwice")
+TEST_CASE_METHOD(CheckerFixture, "checker_startAfterAcknowledgedDoneEnd_reportsTwice")
 {
     this->submit(twoSteps, 200);
     this->start(0, 1);
@@ -128,7 +129,7 @@
     CHECK(this->hasFound("TWICE"));
 }
 
-TEST_CASE_METHOD(CheckerFixture, "checker_startAfterTheLastAttempt_isOverTheBudget")
+TEST_CASE_METHOD(CheckerFixture, "checker_startAfterLastAttempt_reportsBudget")
 {
     this->submit(twoSteps, 200);
     for (std::uint32_t run = 1; run <= attemptsPerTask; ++run) {
@@ -141,7 +142,7 @@
     CHECK(this->hasFound("BUDGET"));
 }
 
-TEST_CASE_METHOD(CheckerFixture, "checker_startOfARejectedJob_isFoundBeforeAndAfterTheAnswer")
+TEST_CASE_METHOD(CheckerFixture, "checker_startOfRejectedJob_reportsRefusedAfterAnswer")
 {
     this->checker.submitSent(job, platform::decodeJob(twoSteps));
     this->start(0, 1);
@@ -150,20 +151,20 @@
     CHECK(this->hasFound("REFUSED"));
 }
 
-TEST_CASE_METHOD(CheckerFixture, "checker_taskOfNoJob_isUnasked")
+TEST_CASE_METHOD(CheckerFixture, "checker_taskOfUnknownJob_reportsUnasked")
 {
     this->checker.stepOf(workload::TaskKey(job, 0, 0, 0));
     CHECK(this->hasFound("UNASKED"));
 }
 
-TEST_CASE_METHOD(CheckerFixture, "checker_acceptedJobThatIsGone_isLost")
+TEST_CASE_METHOD(CheckerFixture, "checker_acceptedJobNotFound_reportsLost")
 {
     this->submit(twoSteps, 200);
     this->checker.stateEnded(job, this->reply(410));
     CHECK(this->hasFound("LOST"));
 }
 
-TEST_CASE_METHOD(CheckerFixture, "checker_statesWithoutCause_areFound")
+TEST_CASE_METHOD(CheckerFixture, "checker_stateWithoutCause_isReported")
 {
     this->submit(twoSteps, 200);
     SECTION("completed while a step isn't done")
@@ -180,14 +181,14 @@
         this->show("failed");
         CHECK(this->hasFound("LOST"));
     }
-    SECTION("cancelled by nobody")
+    SECTION("cancelled without a request")
     {
         this->show("cancelled");
         CHECK(this->hasFound("LOST"));
     }
 }
 
-TEST_CASE_METHOD(CheckerFixture, "checker_lastingTaskThatIsAway_isUnsettled")
+TEST_CASE_METHOD(CheckerFixture, "checker_lastingTaskNotRunning_isUnsettled")
 {
     this->submit(lasting, 200);
     this->start(0, 1);
@@ -197,7 +198,7 @@
     CHECK(this->checker.unsettled().size() == 1);
 }
 
-TEST_CASE_METHOD(CheckerFixture, "checker_taskThatRunsOnAfterTheCancelling_isUnsettled")
+TEST_CASE_METHOD(CheckerFixture, "checker_taskRunningAfterCancellation_isUnsettled")
 {
     this->submit(lasting, 200);
     this->start(0, 1);
@@ -209,7 +210,7 @@
     CHECK(this->checker.unsettled().empty());
 }
 
-TEST_CASE_METHOD(CheckerFixture, "checker_configurationThatGoesBack_isFound")
+TEST_CASE_METHOD(CheckerFixture, "checker_wrongConfigurationAnswer_isReported")
 {
     this->change(3, 200);
     this->change(7, 200);
@@ -223,7 +224,7 @@
         this->checker.configurationRead(this->reply(200, R"({"version":7,"routes":[]})"));
         CHECK(this->hasFound("CONFIG"));
     }
-    SECTION("a valid one refused")
+    SECTION("a valid one rejected")
     {
         this->change(9, 409);
         CHECK(this->hasFound("CONFIG"));
@@ -235,34 +236,34 @@
     }
 }
 
-TEST_CASE_METHOD(CheckerFixture, "checker_callCutByAPlannedStop_isLostUnlessThereAreFaults")
+TEST_CASE_METHOD(CheckerFixture, "checker_callCutByPlannedStop_reportsLostOnlyWithoutFaults")
 {
     const Timestamp sent = this->now;
     const Reply cut{Ending::Broken, 0, "", sent, sent + absl::Milliseconds(400)};
-    const Reply atOnce{Ending::Broken, 0, "", sent, sent + absl::Milliseconds(100)};
+    const Reply immediate{Ending::Broken, 0, "", sent, sent + absl::Milliseconds(100)};
     this->checker.callEnded(cut, absl::InfiniteFuture());
-    this->checker.callEnded(atOnce, sent);
+    this->checker.callEnded(immediate, sent);
     CHECK(this->isClean());
-    SECTION("calm")
+    SECTION("without faults")
     {
         this->checker.callEnded(cut, sent);
         CHECK(this->hasFound("LOST"));
     }
-    SECTION("amid faults")
+    SECTION("during faults")
     {
-        this->checker.disturbed();
+        this->checker.markFaultsStarted();
         this->checker.callEnded(cut, sent);
         CHECK(this->isClean());
     }
 }
 
-TEST_CASE("plan_sameSeed_isTheSame")
+TEST_CASE("plan_sameSeed_isIdentical")
 {
     CHECK(planFaults(7, {}) == planFaults(7, {}));
     CHECK_FALSE(planFaults(7, {}) == planFaults(8, {}));
 }
 
-TEST_CASE_METHOD(CheckerFixture, "failedJob_underWhichOneWorkerWasLost_isNoted")
+TEST_CASE_METHOD(CheckerFixture, "checker_jobFailedAfterOneLostWorker_reportsLost")
 {
     this->submit(twoSteps, 200);
     this->start(0, 1);
@@ -271,7 +272,7 @@
     CHECK(this->hasFound("LOST"));
 }
 
-TEST_CASE_METHOD(CheckerFixture, "failedJob_underWhichTwoWorkersWereLost_isAllowed")
+TEST_CASE_METHOD(CheckerFixture, "checker_jobFailedAfterTwoLostWorkers_reportsNothing")
 {
     this->submit(twoSteps, 200);
     for (std::uint32_t run = 1; run <= 2; ++run) {
@@ -282,11 +283,11 @@
     CHECK(this->isClean());
 }
 
-TEST_CASE("plan_ofAKnownSeed_isTheSameBesideRoomsThatShrink")
+TEST_CASE("plan_recordedSeed_isUnchangedExceptCapacityReductions")
 {
     std::vector<Fault> faults = planFaults(23, {});
-    CHECK(std::any_of(faults.begin(), faults.end(), [](const Fault &fault) { return fault.kind == FaultKind::ShrinkRoom; }));
-    std::erase_if(faults, [](const Fault &fault) { return fault.kind == FaultKind::ShrinkRoom; });
+    CHECK(std::any_of(faults.begin(), faults.end(), [](const Fault &fault) { return fault.kind == FaultKind::ReduceCapacity; }));
+    std::erase_if(faults, [](const Fault &fault) { return fault.kind == FaultKind::ReduceCapacity; });
     CHECK(faults.size() == 82);
 }
 
--- a/testing/soak/main.cpp
+++ b/testing/soak/main.cpp
@@ -1,7 +1,7 @@
-// Program: a soak of the real processes under faults, one seed after the other.
+// Program: soak test of the real processes under injected faults, one seed after the other.
 //
 //     soak --programs build --seed 7              # one seed
-//     soak --programs build --count 10            # ten fresh ones
+//     soak --programs build --count 10            # ten new seeds
 //     soak --programs build --list testing/soak/seeds.txt
 
 #include "paddlepier/base/error.h"
@@ -28,22 +28,22 @@
 
 constexpr Duration tick = absl::Milliseconds(10);
 
-/** A longer step of the soak itself is noted. */
-constexpr Duration heldUp = absl::Milliseconds(300);
+/** A step of the soak that takes longer than this is logged. */
+constexpr Duration longStep = absl::Milliseconds(300);
 
 /** `recovery_s` of the platform's settings. */
 constexpr Duration recoveryTime = absl::Seconds(12);
 
-/** The first group forms and takes its first configuration. */
-constexpr Duration startPatience = absl::Seconds(20);
+/** Timeout for the first group to bootstrap and to accept its first configuration. */
+constexpr Duration startTimeout = absl::Seconds(20);
 
 /**
- * All that was accepted stands as it should: the longest lease (10 s), the time after which a new machine counts (4 s), and
- * the longest chains of tasks, which fail up to twice.
+ * Timeout for all accepted jobs to reach their expected state after the faults: covers the longest lease (10 s), the time
+ * until a new machine may get work (4 s), and the longest chains of tasks, each of which may fail twice.
  */
-constexpr Duration settlePatience = absl::Seconds(40);
+constexpr Duration settleTimeout = absl::Seconds(40);
 
-/** One seed: its processes, its calls, its faults. */
+/** Runs one seed: its processes, calls and faults. */
 class Run
 {
 public:
@@ -57,13 +57,13 @@
 
     std::vector<std::string> run()
     {
-        if (!this->traffic.configure(startPatience)) {
-            this->checker.violation("the first configuration is never acknowledged");
+        if (!this->traffic.configure(startTimeout)) {
+            this->checker.violation("the first configuration was not acknowledged");
             return this->violations();
         }
         this->traffic.start();
         this->injectAll();
-        this->note("heal");
+        this->writeLog("heal");
         this->cell.heal();
         this->healedAt = controlNow();
         this->traffic.stop();
@@ -77,7 +77,7 @@
     }
 
 private:
-    void note(const std::string &text)
+    void writeLog(const std::string &text)
     {
         this->log << absl::FormatTime("%H:%M:%E3S", absl::Now(), absl::UTCTimeZone()) << " " << text << std::endl;
     }
@@ -91,47 +91,47 @@
             moments.emplace(fault.at + fault.length, std::pair(&fault, false));
         }
         for (const auto &[at, moment] : moments) {
-            this->watchUntil(start + at);
+            this->superviseUntil(start + at);
             const auto &[fault, isBegin] = moment;
-            this->note(absl::StrCat(isBegin ? "begin " : "end ", fault->text()));
+            this->writeLog(absl::StrCat(isBegin ? "begin " : "end ", fault->text()));
             if (!isPlanned(fault->kind)) {
-                this->checker.disturbed();
+                this->checker.markFaultsStarted();
             }
             isBegin ? this->cell.begin(*fault) : this->cell.end(*fault);
-            this->noteHoldUp("that took");
+            this->logLongStep("that took");
         }
     }
 
-    /** So that what came late isn't taken for what came early. */
-    void noteHoldUp(const std::string &what)
+    /** Logs delays of the soak itself, which would otherwise look like late reactions of the processes. */
+    void logLongStep(const std::string &what)
     {
-        const Duration since = controlNow() - this->lastSeen;
-        if (since > heldUp) {
-            this->note(absl::StrCat("the soak was held up: ", what, " ", absl::FormatDuration(since)));
+        const Duration since = controlNow() - this->lastStepAt;
+        if (since > longStep) {
+            this->writeLog(absl::StrCat("the soak was held up: ", what, " ", absl::FormatDuration(since)));
         }
-        this->lastSeen = controlNow();
+        this->lastStepAt = controlNow();
     }
 
-    void watchUntil(Timestamp end)
+    void superviseUntil(Timestamp end)
     {
         do {
-            this->noteHoldUp("a wait took");
-            this->cell.watch();
-            this->noteHoldUp("to watch the processes took");
-            for (const std::string &problem : this->cell.problems()) {
-                this->checker.violation(problem);
+            this->logLongStep("a wait took");
+            this->cell.supervise();
+            this->logLongStep("to watch the processes took");
+            for (const std::string &violation : this->cell.violations()) {
+                this->checker.violation(violation);
             }
             const std::vector<std::string> found = this->checker.violations();
-            for (; this->noted < found.size(); ++this->noted) {
-                this->note("VIOLATION " + found[this->noted]);
+            for (; this->loggedViolations < found.size(); ++this->loggedViolations) {
+                this->writeLog("VIOLATION " + found[this->loggedViolations]);
             }
             absl::SleepFor(std::min(tick, std::max(absl::ZeroDuration(), end - controlNow())));
         } while (controlNow() < end);
     }
 
-    void noteRecovery(Duration time)
+    void recordRecovery(Duration time)
     {
-        this->note(absl::StrCat("every core answers ", absl::FormatDuration(time), " after the faults"));
+        this->writeLog(absl::StrCat("every core answers ", absl::FormatDuration(time), " after the faults"));
         if (time > recoveryTime) {
             this->checker.violation(absl::StrCat("RECOVER: every core answers only ", absl::FormatDuration(time), " after the faults"));
         }
@@ -144,26 +144,26 @@
         std::vector<std::string> reasons;
         do {
             this->cell.heal();
-            this->watchUntil(controlNow() + absl::Milliseconds(200));
+            this->superviseUntil(controlNow() + absl::Milliseconds(200));
             if (!isReadBack && this->traffic.readBack()) {
                 isReadBack = true;
-                this->noteRecovery(controlNow() - begin);
+                this->recordRecovery(controlNow() - begin);
             }
-            this->traffic.askForAll();
+            this->traffic.queryUnsettledJobs();
             reasons = this->checker.unsettled();
-        } while (controlNow() < begin + settlePatience && (!isReadBack || !reasons.empty()));
+        } while (controlNow() < begin + settleTimeout && (!isReadBack || !reasons.empty()));
         this->settleTime = controlNow() - begin;
         for (const std::string &reason : reasons) {
             this->checker.violation("LOST: " + reason);
         }
         if (!isReadBack) {
-            this->checker.violation("CONFIG: it isn't read back");
+            this->checker.violation("CONFIG: the configuration was not read back from every core");
         }
     }
 
     std::vector<std::string> violations()
     {
-        this->watchUntil(controlNow());
+        this->superviseUntil(controlNow());
         return this->checker.violations();
     }
 
@@ -172,8 +172,8 @@
     Checker checker;
     Cell cell;
     Traffic traffic;
-    std::size_t noted = 0;
-    Timestamp lastSeen = controlNow();
+    std::size_t loggedViolations = 0;
+    Timestamp lastStepAt = controlNow();
     Timestamp healedAt;
     Duration settleTime;
 };
@@ -191,12 +191,12 @@
     return seeds;
 }
 
-/** @return whether every promise held */
-bool runSeed(std::uint64_t seed, const Sizes &sizes, const std::string &programs, bool keepsFolder)
+/** @return whether no rule was violated */
+bool runSeed(std::uint64_t seed, const Sizes &sizes, const std::string &programs, bool keepFolder)
 {
     std::string folder = absl::StrCat(std::filesystem::temp_directory_path().string(), "/paddlepier-soak-", seed, "-XXXXXX");
     if (::mkdtemp(folder.data()) == nullptr) {
-        throw InternalError("no folder can be made: " + folder);
+        throw InternalError("cannot create a folder: " + folder);
     }
     Run run(seed, sizes, folder, programs);
     const std::vector<std::string> violations = run.run();
@@ -204,7 +204,7 @@
     for (const std::string &violation : violations) {
         std::cout << "    " << violation << "\n";
     }
-    if (violations.empty() && !keepsFolder) {
+    if (violations.empty() && !keepFolder) {
         std::filesystem::remove_all(folder);
     } else {
         std::cout << "    lines of the processes, and the times of faults and violations (soak.log): " << folder << std::endl;
@@ -216,14 +216,14 @@
 
 } // namespace paddlepier::testing::soak
 
-int main(int count, char **words)
+int main(int argc, char **argv)
 {
     using namespace paddlepier;
-    if (const std::optional<int> status = testing::runInOwnNetwork(words)) {
+    if (const std::optional<int> status = testing::runInOwnNetwork(argv)) {
         return *status;
     }
     ::signal(SIGPIPE, SIG_IGN);
-    TCLAP::CmdLine line("Runs the real processes under faults, and checks the platform's promises", ' ', "0.1.0");
+    TCLAP::CmdLine line("Runs the real processes under injected faults and checks the platform's rules", ' ', "0.1.0");
     TCLAP::ValueArg<std::string> programs("", "programs", "folder with the built programs", true, "", "folder", line);
     TCLAP::MultiArg<std::uint64_t> seedArgument("", "seed", "a seed", false, "number", line);
     TCLAP::ValueArg<std::string> list("", "list", "file with a seed at the start of each line", false, "", "file", line);
@@ -233,7 +233,7 @@
     TCLAP::ValueArg<std::uint32_t> cores("", "cores", "core instances", false, 3, "number", line);
     TCLAP::ValueArg<std::uint32_t> seconds("", "seconds", "time with faults", false, 12, "number", line);
     TCLAP::SwitchArg keep("", "keep", "keep the folder of a seed that held, too", line);
-    line.parse(count, words);
+    line.parse(argc, argv);
     log::initialize(log::Level::Error);
     const testing::soak::Sizes sizes{cores.getValue(), entries.getValue(), workers.getValue(), absl::Seconds(seconds.getValue())};
     std::vector<std::uint64_t> seeds = seedArgument.getValue();
--- a/testing/soak/plan.cpp
+++ b/testing/soak/plan.cpp
@@ -17,10 +17,10 @@
 struct KindRow {
     FaultKind kind;
     const char *name;
-    /** How often it comes, against the others. */
+    /** Relative frequency of this kind. */
     double weight;
-    double leastSeconds;
-    double mostSeconds;
+    double minSeconds;
+    double maxSeconds;
 };
 
 constexpr std::array<KindRow, 18> kinds{{{FaultKind::StopCore, "stop-core", 4, 0.1, 2},
@@ -37,31 +37,31 @@
                                          {FaultKind::SilenceLinks, "silence-links", 10, 0, 0},
                                          {FaultKind::CrashWorker, "crash-worker", 14, 0.1, 2},
                                          {FaultKind::DrainWorker, "drain-worker", 5, 3, 6},
-                                         {FaultKind::WorkerAnswersLate, "worker-answers-late", 5, 0.5, 4},
-                                         {FaultKind::WorkerLosesAnswers, "worker-loses-answers", 6, 0.5, 4},
-                                         {FaultKind::WorkerOrdersLate, "worker-orders-late", 8, 0.5, 4},
-                                         // Drawn apart, so that the plans of known seeds stay as they were.
-                                         {FaultKind::ShrinkRoom, "shrink-room", 0, 2, 10}}};
+                                         {FaultKind::DelayWorkerAnswers, "worker-answers-late", 5, 0.5, 4},
+                                         {FaultKind::LoseWorkerAnswers, "worker-loses-answers", 6, 0.5, 4},
+                                         {FaultKind::DelayWorkerOrders, "worker-orders-late", 8, 0.5, 4},
+                                         // Drawn separately, so that the other faults of recorded seeds stay the same.
+                                         {FaultKind::ReduceCapacity, "shrink-room", 0, 2, 10}}};
 
-/** Mean gap between two rooms that shrink. */
-constexpr double shrinkGapSeconds = 1.0;
+/** Mean gap between two reductions of a capacity. */
+constexpr double reductionGapSeconds = 1.0;
 
-/** Time in which only planned stops happen; longer than `contact_ms` of the platform. */
+/** Length of the phase with planned stops only; longer than `contact_ms` of the platform. */
 constexpr double quietSeconds = 6;
 
-/** Faults of the crowded seeds come with this mean gap; the mean of all seeds lies between the two. */
-constexpr double leastGapSeconds = 0.1;
-constexpr double mostGapSeconds = 0.6;
+/** Bounds of the mean gap between two faults, which is drawn once for each seed. */
+constexpr double minGapSeconds = 0.1;
+constexpr double maxGapSeconds = 0.6;
 
 const KindRow &rowOf(FaultKind kind)
 {
     return *std::find_if(kinds.begin(), kinds.end(), [kind](const KindRow &row) { return row.kind == kind; });
 }
 
-class Planner
+class FaultPlanner
 {
 public:
-    Planner(std::uint64_t seed, const Sizes &sizes)
+    FaultPlanner(std::uint64_t seed, const Sizes &sizes)
         : sizes(sizes)
         , random(seed)
     {
@@ -70,28 +70,28 @@
     std::vector<Fault> plan()
     {
         double at = 0.5;
-        if (this->between(0, 1) < 0.4) {
-            for (at = 1; at < quietSeconds - 2; at += this->between(0.5, 2)) {
-                this->add(at, this->between(0, 1) < 0.7 ? FaultKind::StopEntry : FaultKind::StopCore);
+        if (this->uniform(0, 1) < 0.4) {
+            for (at = 1; at < quietSeconds - 2; at += this->uniform(0.5, 2)) {
+                this->add(at, this->uniform(0, 1) < 0.7 ? FaultKind::StopEntry : FaultKind::StopCore);
             }
             at = quietSeconds;
         }
         const double end = at + absl::ToDoubleSeconds(this->sizes.faults);
-        const double gap = this->between(leastGapSeconds, mostGapSeconds);
+        const double gap = this->uniform(minGapSeconds, maxGapSeconds);
         for (; at < end; at += std::exponential_distribution<double>(1 / gap)(this->random)) {
-            this->add(at, this->anyKind());
+            this->add(at, this->drawKind());
         }
-        this->addShrinkingRooms(end);
+        this->addCapacityReductions(end);
         return this->faults;
     }
 
 private:
-    double between(double least, double most)
+    double uniform(double min, double max)
     {
-        return std::uniform_real_distribution<double>(least, most)(this->random);
+        return std::uniform_real_distribution<double>(min, max)(this->random);
     }
 
-    FaultKind anyKind()
+    FaultKind drawKind()
     {
         std::vector<double> weights;
         weights.reserve(kinds.size());
@@ -103,7 +103,7 @@
         return kind;
     }
 
-    std::uint32_t targetsOf(FaultKind kind) const
+    std::uint32_t targetCount(FaultKind kind) const
     {
         switch (kind) {
         case FaultKind::StopEntry:
@@ -120,11 +120,11 @@
         }
     }
 
-    void addShrinkingRooms(double end)
+    void addCapacityReductions(double end)
     {
-        std::exponential_distribution<double> gap(1 / shrinkGapSeconds);
+        std::exponential_distribution<double> gap(1 / reductionGapSeconds);
         for (double at = gap(this->random); at < end; at += gap(this->random)) {
-            this->add(at, FaultKind::ShrinkRoom);
+            this->add(at, FaultKind::ReduceCapacity);
         }
         std::stable_sort(this->faults.begin(), this->faults.end(), [](const Fault &left, const Fault &right) { return left.at < right.at; });
     }
@@ -133,10 +133,10 @@
     {
         Fault fault;
         fault.at = absl::Milliseconds(static_cast<std::int64_t>(at * 1000));
-        fault.length = absl::Milliseconds(static_cast<std::int64_t>(this->between(rowOf(kind).leastSeconds, rowOf(kind).mostSeconds) * 1000));
+        fault.length = absl::Milliseconds(static_cast<std::int64_t>(this->uniform(rowOf(kind).minSeconds, rowOf(kind).maxSeconds) * 1000));
         fault.kind = kind;
-        fault.target = static_cast<std::uint32_t>(this->random() % this->targetsOf(kind));
-        fault.part = this->between(0, 1) < 0.5 ? 0 : static_cast<std::uint32_t>(1 + this->random() % maxPart);
+        fault.target = static_cast<std::uint32_t>(this->random() % this->targetCount(kind));
+        fault.part = this->uniform(0, 1) < 0.5 ? 0 : static_cast<std::uint32_t>(1 + this->random() % maxPart);
         this->faults.push_back(fault);
     }
 
@@ -165,7 +165,7 @@
 
 std::vector<Fault> planFaults(std::uint64_t seed, const Sizes &sizes)
 {
-    return Planner(seed, sizes).plan();
+    return FaultPlanner(seed, sizes).plan();
 }
 
 } // namespace paddlepier::testing::soak
--- a/testing/soak/plan.h
+++ b/testing/soak/plan.h
@@ -1,7 +1,7 @@
 // The faults of one seed, and when each begins and ends.
 //
-// Faults come in series and overlap: nothing keeps one from beginning while others last. Only a disk is lost at most once,
-// as many as the settings tolerate. A plan may begin with a quiet time, in which nothing but planned stops happens.
+// Faults follow each other at random and may overlap without limit. Only a disk is lost at most once, which is as many as the
+// settings tolerate. A plan may begin with a quiet phase that contains planned stops only.
 //
 // Thread safety: plain values and a function without state.
 
@@ -32,15 +32,15 @@
     SilenceLinks,
     CrashWorker,
     DrainWorker,
-    WorkerAnswersLate,
-    WorkerLosesAnswers,
-    WorkerOrdersLate,
-    ShrinkRoom
+    DelayWorkerAnswers,
+    LoseWorkerAnswers,
+    DelayWorkerOrders,
+    ReduceCapacity
 };
 
 std::string nameOf(FaultKind kind);
 
-/** A planned stop isn't a fault for the promise that no call is cut. */
+/** Planned stops do not count as faults: as long as nothing else happens, no call may be cut. */
 bool isPlanned(FaultKind kind);
 
 struct Sizes {
@@ -54,14 +54,14 @@
 constexpr std::uint32_t maxPart = 1000;
 
 struct Fault {
-    /** Since the start of the calls. */
+    /** Relative to the start of the calls. */
     Duration at;
-    /** Until the process is back or the link whole; nothing for a reset or silence. */
+    /** Until the process restarts or the link is restored; zero for a reset or silence. */
     Duration length;
     FaultKind kind = FaultKind::KillCore;
-    /** Number of the core, entry or worker; of links, of the core or entry at one end. */
+    /** Number of the core, entry or worker; for links, of the core or entry at one end. */
     std::uint32_t target = 0;
-    /** Of a shrinking room, what it shrinks to. Of links, which of those of the target: a number that the links divide among themselves, or 0 for all. */
+    /** For a reduced capacity, its size in parts of maxPart. For links, 0 affects all links of the target, another number selects a third of them. */
     std::uint32_t part = 0;
 
     bool operator==(const Fault &) const = default;
--- a/testing/soak/traffic.cpp
+++ b/testing/soak/traffic.cpp
@@ -24,59 +24,59 @@
 
 constexpr std::uint64_t callerCount = 12;
 
-/** Every second caller calls seldom: its connection is open, and not in use, when an instance is told to stop. */
-constexpr std::uint64_t longestPauseMillis = 4000;
-constexpr std::uint64_t shortestPauseMillis = 150;
+/** Every second caller pauses for long between calls, so that idle connections are open when an instance begins a planned stop. */
+constexpr std::uint64_t maxLongPauseMillis = 4000;
+constexpr std::uint64_t maxShortPauseMillis = 150;
 constexpr std::uint64_t operatorCount = 2;
 constexpr std::uint64_t queueCount = 3;
 
-/** What a caller waits for an answer. */
-constexpr Duration callPatience = absl::Seconds(2);
+/** A caller's timeout for one call. */
+constexpr Duration callTimeout = absl::Seconds(2);
 
-/** An operator asks the next machine after this; PROTOCOL.md. */
-constexpr Duration orderPatience = absl::Seconds(1);
+/** An operator tries the next machine after this; PROTOCOL.md. */
+constexpr Duration operatorTimeout = absl::Seconds(1);
 
-/** Each task of such a job costs a worker or four. */
+/** One job in this many crashes workers: each of its tasks takes down one to four. */
 constexpr std::uint64_t jobsPerCrashingOne = 120;
 
-/** Lasting jobs of one caller: they stay till the end, and leave most of the workers to the others. */
-constexpr std::size_t mostLastingJobs = 3;
+/** Per caller. Lasting jobs run until the end of the seed; this leaves most of the workers to other jobs. */
+constexpr std::size_t maxLastingJobs = 3;
 
-std::uint64_t below(std::mt19937_64 &random, std::uint64_t bound)
+std::uint64_t randomBelow(std::mt19937_64 &random, std::uint64_t bound)
 {
     return random() % bound;
 }
 
-void pause(std::mt19937_64 &random, std::uint64_t mostMillis)
+void sleepUpTo(std::mt19937_64 &random, std::uint64_t maxMillis)
 {
-    absl::SleepFor(absl::Milliseconds(static_cast<std::int64_t>(below(random, mostMillis))));
+    absl::SleepFor(absl::Milliseconds(static_cast<std::int64_t>(randomBelow(random, maxMillis))));
 }
 
-Json step(std::mt19937_64 &random, std::uint64_t mostTasks)
+Json randomStep(std::mt19937_64 &random, std::uint64_t maxTasks)
 {
-    return {{"count", 1 + below(random, mostTasks)},
-            {"cpu", 250 * (1 + below(random, 6))},
+    return {{"count", 1 + randomBelow(random, maxTasks)},
+            {"cpu", 250 * (1 + randomBelow(random, 6))},
             {"requested_memory_mb", 100},
-            {"estimated_ms", 50 + below(random, 900)}};
+            {"estimated_ms", 50 + randomBelow(random, 900)}};
 }
 
-/** A job of a kind that the seed gives: plain, of several steps, a gang, or lasting. */
-Json anyJob(std::mt19937_64 &random, bool mayLast)
+/** A random job: with one step, with several steps, a gang, or lasting. */
+Json randomJob(std::mt19937_64 &random, bool mayBeLasting)
 {
-    const std::uint64_t kind = below(random, 20);
-    const char *payload = below(random, 10) == 0 ? "flaky" : below(random, 40) == 0 ? "hopeless" : "plain";
-    Json job{{"task_spec", payload}, {"steps", Json::array({step(random, 5)})}};
+    const std::uint64_t kind = randomBelow(random, 20);
+    const char *payload = randomBelow(random, 10) == 0 ? "flaky" : randomBelow(random, 40) == 0 ? "hopeless" : "plain";
+    Json job{{"task_spec", payload}, {"steps", Json::array({randomStep(random, 5)})}};
     if (kind < 6) {
-        for (std::uint64_t more = 1; more <= 1 + below(random, 2); ++more) {
-            job["steps"].push_back(step(random, 4));
+        for (std::uint64_t more = 1; more <= 1 + randomBelow(random, 2); ++more) {
+            job["steps"].push_back(randomStep(random, 4));
             job["steps"].back()["after"] = {more - 1};
         }
     } else if (kind < 9) {
         job["steps"][0]["gang"] = true;
-        job["steps"][0]["count"] = 2 + below(random, 3);
-    } else if (kind < 11 && mayLast) {
+        job["steps"][0]["count"] = 2 + randomBelow(random, 3);
+    } else if (kind < 11 && mayBeLasting) {
         job["steps"][0]["long_running"] = true;
-        job["steps"][0]["count"] = 1 + below(random, 2);
+        job["steps"][0]["count"] = 1 + randomBelow(random, 2);
         job["steps"][0]["cpu"] = 250;
     }
     return job;
@@ -108,19 +108,19 @@
 struct Traffic::Caller {
     std::uint64_t number = 0;
     std::mt19937_64 random;
-    /** For what was added later, so that known seeds give the same calls besides. */
-    std::mt19937_64 news;
+    /** For choices that were added later, so that the other calls of recorded seeds stay the same. */
+    std::mt19937_64 laterRandom;
     std::uint32_t entry = 0;
     std::unique_ptr<Channel> channel;
     std::vector<std::string> jobs;
     std::size_t lastingJobs = 0;
 };
 
-Traffic::Traffic(const Cell &servedCell, Sizes cellSizes, std::uint64_t trafficSeed, Checker &judge)
+Traffic::Traffic(const Cell &servedCell, Sizes cellSizes, std::uint64_t trafficSeed, Checker &violationChecker)
     : cell(servedCell)
     , sizes(cellSizes)
     , seed(trafficSeed)
-    , checker(judge)
+    , checker(violationChecker)
 {
 }
 
@@ -142,7 +142,7 @@
                           0};
             while (!this->stopping) {
                 this->call(caller);
-                const std::uint64_t millis = below(caller.random, number % 2 == 0 ? shortestPauseMillis : longestPauseMillis);
+                const std::uint64_t millis = randomBelow(caller.random, number % 2 == 0 ? maxShortPauseMillis : maxLongPauseMillis);
                 waitUntil([this] { return this->stopping.load(); }, absl::Milliseconds(static_cast<std::int64_t>(millis)));
             }
         });
@@ -168,7 +168,7 @@
         caller.channel = std::make_unique<Channel>(this->cell.front(caller.entry), headers);
     }
     const std::string path = absl::StrCat("/q", job.back() % queueCount, "/", job);
-    Reply reply = caller.channel->call(method, path, body, callPatience);
+    Reply reply = caller.channel->call(method, path, body, callTimeout);
     this->checker.callEnded(reply, this->cell.stopAt(caller.entry));
     if (reply.ending != Ending::Answered || reply.status >= 500) {
         caller.channel.reset();
@@ -178,22 +178,22 @@
 
 void Traffic::call(Caller &caller)
 {
-    const std::uint64_t choice = below(caller.random, 20);
+    const std::uint64_t choice = randomBelow(caller.random, 20);
     if (choice < 9 || caller.jobs.empty()) {
         this->submit(caller);
     } else if (choice < 10) {
         this->cancel(caller);
     } else {
-        // Mostly one of the last jobs.
-        const std::size_t back = std::min<std::size_t>(caller.jobs.size(), 1 + below(caller.random, choice < 13 ? 100 : 6));
-        this->ask(caller, caller.jobs[caller.jobs.size() - back]);
+        // Usually one of the most recent jobs.
+        const std::size_t back = std::min<std::size_t>(caller.jobs.size(), 1 + randomBelow(caller.random, choice < 13 ? 100 : 6));
+        this->queryState(caller, caller.jobs[caller.jobs.size() - back]);
     }
 }
 
 void Traffic::submit(Caller &caller)
 {
-    Json job = anyJob(caller.random, caller.lastingJobs < mostLastingJobs);
-    if (below(caller.news, jobsPerCrashingOne) == 0) {
+    Json job = randomJob(caller.random, caller.lastingJobs < maxLastingJobs);
+    if (randomBelow(caller.laterRandom, jobsPerCrashingOne) == 0) {
         job["task_spec"] = crashingPayload;
     }
     caller.lastingJobs += job["steps"][0].contains("long_running") ? 1 : 0;
@@ -201,22 +201,22 @@
     const std::string body = job.dump();
     const work::JobSpecT spec = platform::decodeJob(body);
     caller.jobs.push_back(id);
-    const std::uint64_t tries = 1 + below(caller.random, 6);
-    const bool sendsAgain = below(caller.random, 10) == 0;
-    for (std::uint64_t attempt = 0; attempt < tries; ++attempt) {
+    const std::uint64_t attempts = 1 + randomBelow(caller.random, 6);
+    const bool repeatsAccepted = randomBelow(caller.random, 10) == 0;
+    for (std::uint64_t attempt = 0; attempt < attempts; ++attempt) {
         this->checker.submitSent(id, spec);
         const Reply reply = this->send(caller, "POST", id, body);
         this->checker.submitEnded(id, reply);
-        if (reply.status == 200 && !sendsAgain) {
+        if (reply.status == 200 && !repeatsAccepted) {
             return;
         }
-        pause(caller.random, 200);
+        sleepUpTo(caller.random, 200);
     }
 }
 
 void Traffic::cancel(Caller &caller)
 {
-    const std::string &job = caller.jobs[caller.jobs.size() - std::min<std::size_t>(caller.jobs.size(), 1 + below(caller.random, 10))];
+    const std::string &job = caller.jobs[caller.jobs.size() - std::min<std::size_t>(caller.jobs.size(), 1 + randomBelow(caller.random, 10))];
     this->checker.cancelSent(job);
     for (int attempt = 0; attempt < 4; ++attempt) {
         const Reply reply = this->send(caller, "DELETE", job);
@@ -227,47 +227,47 @@
     }
 }
 
-void Traffic::ask(Caller &caller, const std::string &job)
+void Traffic::queryState(Caller &caller, const std::string &job)
 {
     this->checker.stateEnded(job, this->send(caller, "GET", job));
 }
 
-void Traffic::askForAll()
+void Traffic::queryUnsettledJobs()
 {
     Caller caller{callerCount, std::mt19937_64(this->seed), std::mt19937_64(this->seed), 0, nullptr, {}, 0};
     for (const std::string &job : this->checker.unsettledJobs()) {
-        this->ask(caller, job);
+        this->queryState(caller, job);
     }
 }
 
 Reply Traffic::change(std::uint64_t version, const std::string &body, std::mt19937_64 &random)
 {
-    Channel channel(this->cell.control(static_cast<std::uint32_t>(below(random, this->sizes.cores))), headers);
-    Reply reply = channel.call("PUT", "/api/configuration", body, orderPatience);
+    Channel channel(this->cell.control(static_cast<std::uint32_t>(randomBelow(random, this->sizes.cores))), headers);
+    Reply reply = channel.call("PUT", "/api/configuration", body, operatorTimeout);
     this->checker.configurationEnded(version, reply);
     return reply;
 }
 
-bool Traffic::configure(Duration patience)
+bool Traffic::configure(Duration timeout)
 {
     std::mt19937_64 random(this->seed);
     const std::string body = configuration(++this->newestVersion, 3000, true);
     this->checker.configurationSent(this->newestVersion, body);
-    return waitUntil([&] { return this->change(this->newestVersion, body, random).status == 200; }, patience);
+    return waitUntil([&] { return this->change(this->newestVersion, body, random).status == 200; }, timeout);
 }
 
 void Traffic::operate(std::uint64_t number)
 {
     std::mt19937_64 random(this->seed * 100 + 50 + number);
-    std::vector<std::pair<std::uint64_t, std::string>> older;
+    std::vector<std::pair<std::uint64_t, std::string>> earlier;
     while (!this->stopping) {
-        const bool isValid = below(random, 8) != 0;
-        std::uint64_t version = this->newestVersion += 1 + below(random, 5);
-        std::string body = configuration(version, 1000 + below(random, 3000), isValid);
-        if (!older.empty() && below(random, 5) == 0) {
-            std::tie(version, body) = older[below(random, older.size())];
+        const bool isValid = randomBelow(random, 8) != 0;
+        std::uint64_t version = this->newestVersion += 1 + randomBelow(random, 5);
+        std::string body = configuration(version, 1000 + randomBelow(random, 3000), isValid);
+        if (!earlier.empty() && randomBelow(random, 5) == 0) {
+            std::tie(version, body) = earlier[randomBelow(random, earlier.size())];
         } else if (isValid) {
-            older.emplace_back(version, body);
+            earlier.emplace_back(version, body);
             this->checker.configurationSent(version, body);
         } else {
             version = 0;
@@ -277,24 +277,24 @@
             if (status == 200 || (status >= 400 && status < 500)) {
                 break;
             }
-            pause(random, 300);
+            sleepUpTo(random, 300);
         }
-        Channel reader(this->cell.control(static_cast<std::uint32_t>(below(random, this->sizes.cores))), headers);
-        this->checker.configurationRead(reader.call("GET", "/api/configuration", "", orderPatience));
-        pause(random, 800);
+        Channel reader(this->cell.control(static_cast<std::uint32_t>(randomBelow(random, this->sizes.cores))), headers);
+        this->checker.configurationRead(reader.call("GET", "/api/configuration", "", operatorTimeout));
+        sleepUpTo(random, 800);
     }
 }
 
 bool Traffic::readBack()
 {
-    bool isWhole = true;
+    bool isComplete = true;
     for (std::uint32_t core = 0; core < this->sizes.cores; ++core) {
         Channel reader(this->cell.control(core), headers);
-        const Reply reply = reader.call("GET", "/api/configuration", "", orderPatience);
+        const Reply reply = reader.call("GET", "/api/configuration", "", operatorTimeout);
         this->checker.configurationRead(reply);
-        isWhole = isWhole && reply.status == 200;
+        isComplete = isComplete && reply.status == 200;
     }
-    return isWhole;
+    return isComplete;
 }
 
 } // namespace paddlepier::testing::soak
--- a/testing/soak/traffic.h
+++ b/testing/soak/traffic.h
@@ -1,9 +1,10 @@
-// Callers and operators of one seed: each on a thread of its own, with choices that come from the seed.
+// Callers and operators of one seed, each on a separate thread with choices determined by the seed.
 //
-// A caller keeps its connection while it is open, sends the same job again after an unclear answer, asks for states and
-// cancels. Operators send configurations in uneven steps, at times two at once, repeat older ones and send invalid ones.
+// A caller keeps its connection while it is open, submits the same job again after an inconclusive answer, queries states and
+// cancels jobs. Operators send configurations with irregular version steps, sometimes two at the same time, repeat older
+// versions and send invalid ones.
 //
-// Thread safety: none; the threads inside are ended with the object, or by stop().
+// Thread safety: none; the destructor or stop() ends the internal threads.
 
 #ifndef PADDLEPIER_TESTING_SOAK_TRAFFIC_H
 #define PADDLEPIER_TESTING_SOAK_TRAFFIC_H
@@ -28,13 +29,13 @@
     Traffic(const Traffic &) = delete;
     Traffic &operator=(const Traffic &) = delete;
 
-    /** Sends the first configuration until it's acknowledged. @return false if it isn't within @p patience */
-    bool configure(Duration patience);
+    /** Sends the first configuration until it is acknowledged. @return false if it is not acknowledged within @p timeout */
+    bool configure(Duration timeout);
     void start();
     void stop();
-    /** Asks for all jobs whose end hasn't been shown. */
-    void askForAll();
-    /** Reads the configuration back at every core. @return whether all answered with it */
+    /** Queries the states of all jobs that have not been reported as ended. */
+    void queryUnsettledJobs();
+    /** Reads the configuration back from every core. @return whether all cores answered with one */
     bool readBack();
 
 private:
@@ -43,7 +44,7 @@
     void call(Caller &caller);
     void submit(Caller &caller);
     void cancel(Caller &caller);
-    void ask(Caller &caller, const std::string &job);
+    void queryState(Caller &caller, const std::string &job);
     Reply send(Caller &caller, const std::string &method, const std::string &job, const std::string &body = "");
     void operate(std::uint64_t number);
     Reply change(std::uint64_t version, const std::string &body, std::mt19937_64 &random);
--- a/testing/standin_caller.cpp
+++ b/testing/standin_caller.cpp
@@ -1,4 +1,4 @@
-// Program: sends quick requests and prints one JSON line of results; used for measuring.
+// Program: sends quick requests and prints the results as one line of JSON; used by measurements.
 
 #include "testing/caller.h"
 
@@ -10,14 +10,14 @@
 
 using namespace paddlepier;
 
-int main(int count, char **words)
+int main(int argc, char **argv)
 {
     TCLAP::CmdLine line("Stand-in of callers", ' ', "0.1.0");
     TCLAP::ValueArg<std::string> servers("", "servers", "entry instances", true, "", "address:port,...", line);
     TCLAP::ValueArg<std::string> target("", "target", "path and query; {n} is the number", false, "/v1/quick/reading?n={n}", "path", line);
     TCLAP::ValueArg<std::size_t> requests("", "requests", "how many", false, 1000, "number", line);
     TCLAP::ValueArg<std::size_t> concurrency("", "concurrency", "at a time", false, 8, "number", line);
-    line.parse(count, words);
+    line.parse(argc, argv);
     testing::CallerOptions options;
     options.servers = absl::StrSplit(servers.getValue(), ',');
     options.target = target.getValue();
--- a/testing/standin_worker.cpp
+++ b/testing/standin_worker.cpp
@@ -1,4 +1,4 @@
-// Program: one stand-in of a backend server, until SIGTERM.
+// Program: one stand-in backend server, which runs until SIGTERM or SIGINT.
 
 #include "testing/worker.h"
 
@@ -12,7 +12,7 @@
 
 using namespace paddlepier;
 
-int main(int count, char **words)
+int main(int argc, char **argv)
 {
     sigset_t signals;
     sigemptyset(&signals);
@@ -31,10 +31,10 @@
         TCLAP::ValueArg<std::uint64_t> processors("", "milli-processors", "capacity", false, 16000, "number", line);
         TCLAP::ValueArg<std::uint64_t> memory("", "memory", "capacity in MB", false, 32768, "number", line);
         TCLAP::ValueArg<std::uint64_t> accelerators("", "accelerators", "capacity", false, 0, "number", line);
-        TCLAP::ValueArg<std::string> logPath("", "log", "log of what it does", false, "/dev/null", "file", line);
+        TCLAP::ValueArg<std::string> logPath("", "log", "log of its events", false, "/dev/null", "file", line);
         TCLAP::ValueArg<std::string> fault("", "fault", "none, truncate, wrong-id, stall, fail, doubled", false, "none", "name", line);
         TCLAP::ValueArg<std::int64_t> drainAfter("", "drain-after-millis", "when to drain", false, -1, "number", line);
-        line.parse(count, words);
+        line.parse(argc, argv);
         log::initialize(log::Level::Error);
         testing::WorkerOptions options;
         options.name = name.getValue();
--- a/testing/worker.cpp
+++ b/testing/worker.cpp
@@ -1,4 +1,4 @@
-// Stand-in of a backend server.
+// Stand-in for a backend server.
 
 #include "testing/worker.h"
 
@@ -26,11 +26,11 @@
 
 constexpr Duration announceTimeout = absl::Seconds(2);
 constexpr std::uint32_t waitMillis = 1000;
-constexpr Duration retryPause = absl::Milliseconds(200);
+constexpr Duration retryDelay = absl::Milliseconds(200);
 constexpr Duration stallTime = absl::Seconds(30);
 
-/** Milliseconds after `name=` in a query or command; @p fallback if it's missing. */
-std::int64_t numberIn(const std::string &text, const std::string &name, std::int64_t fallback)
+/** The number after `name=` in a query or command; @p fallback if there is none. */
+std::int64_t numberAfter(const std::string &text, const std::string &name, std::int64_t fallback)
 {
     const std::size_t at = text.find(name + "=");
     std::int64_t value = 0;
@@ -64,7 +64,7 @@
             return fault;
         }
     }
-    throw InvalidArgumentError(absl::StrCat("no fault \"", name, "\""));
+    throw InvalidArgumentError(absl::StrCat("unknown fault \"", name, "\""));
 }
 
 std::int64_t monotonicMicros()
@@ -87,7 +87,7 @@
             this->options.address, limits, [this](const std::shared_ptr<http::Exchange> &exchange) { this->serve(exchange); });
         this->serving = std::thread([this] {
             while (!this->stopping) {
-                this->answerDue();
+                this->sendDueAnswers();
                 absl::SleepFor(absl::Milliseconds(1));
             }
         });
@@ -105,11 +105,11 @@
 void StandinWorker::drain()
 {
     if (!this->draining.exchange(true)) {
-        this->write("drain");
+        this->writeLog("drain");
     }
 }
 
-void StandinWorker::write(const std::string &line)
+void StandinWorker::writeLog(const std::string &line)
 {
     const absl::MutexLock lock(&this->mutex);
     this->log << monotonicMicros() << " " << line << "\n" << std::flush;
@@ -122,13 +122,13 @@
         const Timestamp now = controlNow();
         if (now - start >= this->options.drainAfter && !this->draining) {
             this->drain();
-            this->hasNews = true;
+            this->hasUnreportedChange = true;
         }
         this->endDueTasks();
-        const bool isLate = this->isAnnouncementInFlight && now >= this->giveUpAt;
+        const bool hasTimedOut = this->isAnnouncementInFlight && now >= this->announceDeadline;
         const bool isDue = !this->isAnnouncementInFlight && now >= this->nextAnnouncement;
-        if (isLate || isDue || (this->hasNews && now >= this->nextAnnouncement)) {
-            this->nextEntry += isLate ? 1 : 0;
+        if (hasTimedOut || isDue || (this->hasUnreportedChange && now >= this->nextAnnouncement)) {
+            this->nextEntry += hasTimedOut ? 1 : 0;
             this->announce();
         }
         this->pool.run(absl::Milliseconds(5));
@@ -165,9 +165,9 @@
 void StandinWorker::announce()
 {
     const wire::AnnounceRequestT request = this->describe();
-    this->hasNews = false;
+    this->hasUnreportedChange = false;
     this->isAnnouncementInFlight = true;
-    this->giveUpAt = controlNow() + announceTimeout;
+    this->announceDeadline = controlNow() + announceTimeout;
     this->nextAnnouncement = controlNow() + absl::Milliseconds(20);
     http::OutgoingRequest outgoing;
     outgoing.url = absl::StrCat("http://", this->options.entries[this->nextEntry % this->options.entries.size()], "/v1/WorkerService/Announce");
@@ -183,12 +183,12 @@
 void StandinWorker::handleAnswer(std::uint64_t announced, std::int64_t sentClock, const http::TransferResult &result)
 {
     if (announced != this->sequence) {
-        return; // Given up: a later announcement is under way.
+        return; // This announcement timed out, and a later one is in flight.
     }
     this->isAnnouncementInFlight = false;
     if (!result.isComplete || result.response.status != 200) {
         ++this->nextEntry;
-        this->nextAnnouncement = controlNow() + retryPause;
+        this->nextAnnouncement = controlNow() + retryDelay;
         return;
     }
     const auto reply = wire::unpack<wire::AnnounceReplyT>(result.response.body);
@@ -203,16 +203,16 @@
     this->term = reply.term;
     this->replySequence = reply.sequence;
     this->leaseEndClock = sentClock + static_cast<std::int64_t>(reply.leaseMillis) * 1000;
-    std::map<TaskKey, std::uint64_t> kept;
+    std::map<TaskKey, std::uint64_t> renewed;
     for (const wire::TaskLease &lease : reply.renewed) {
-        kept[{lease.job(), lease.index()}] = lease.epoch();
+        renewed[{lease.job(), lease.index()}] = lease.epoch();
     }
     std::vector<TaskKey> stopped;
     {
         const absl::MutexLock lock(&this->mutex);
         for (const auto &[key, task] : this->running) {
-            const auto found = kept.find(key);
-            if (found == kept.end() || found->second != task.epoch) {
+            const auto found = renewed.find(key);
+            if (found == renewed.end() || found->second != task.epoch) {
                 stopped.push_back(key);
             }
         }
@@ -223,7 +223,7 @@
     }
     for (const TaskKey &key : stopped) {
         this->stopTask(key);
-        this->hasNews = true;
+        this->hasUnreportedChange = true;
     }
     for (const auto &assignment : reply.started) {
         this->startTask(*assignment);
@@ -235,7 +235,7 @@
     const wire::TaskLease &lease = assignment.lease;
     const TaskKey key{lease.job(), lease.index()};
     const bool fails = this->options.fault == Fault::FailEverything || absl::StrContains(assignment.command, "fail");
-    const std::int64_t millis = numberIn(assignment.command, "millis", static_cast<std::int64_t>(assignment.runSeconds) * 1000);
+    const std::int64_t millis = numberAfter(assignment.command, "millis", static_cast<std::int64_t>(assignment.runSeconds) * 1000);
     Task task;
     task.epoch = lease.epoch();
     task.outcome = fails ? wire::AttemptOutcome::Failed : wire::AttemptOutcome::Succeeded;
@@ -246,10 +246,10 @@
         if (!this->running.emplace(key, task).second) {
             return;
         }
-        this->hasNews = true;
+        this->hasUnreportedChange = true;
     }
     const wire::Resources &need = assignment.resources;
-    this->write(absl::StrCat(
+    this->writeLog(absl::StrCat(
         "task-start ", key.first, " ", key.second, " ", task.epoch, " ", need.milliProcessors(), " ", need.memoryMegabytes(), " ", need.accelerators()));
 }
 
@@ -261,25 +261,25 @@
         epoch = this->running.at(key).epoch;
         this->running.erase(key);
     }
-    this->write(absl::StrCat("task-end ", key.first, " ", key.second, " ", epoch));
+    this->writeLog(absl::StrCat("task-end ", key.first, " ", key.second, " ", epoch));
 }
 
 void StandinWorker::endDueTasks()
 {
-    const bool isLeaseOver = monotonicMicros() >= this->leaseEndClock;
+    const bool hasLeaseExpired = monotonicMicros() >= this->leaseEndClock;
     const Timestamp now = controlNow();
     std::vector<std::pair<TaskKey, Task>> ended;
     {
         const absl::MutexLock lock(&this->mutex);
         for (const auto &[key, task] : this->running) {
-            if (isLeaseOver || task.end <= now) {
+            if (hasLeaseExpired || task.end <= now) {
                 ended.emplace_back(key, task);
             }
         }
     }
     for (const auto &[key, task] : ended) {
         this->stopTask(key);
-        this->hasNews = true;
+        this->hasUnreportedChange = true;
         if (task.end <= now) {
             wire::FinishedAttemptT attempt;
             attempt.lease = toLease(key, task.epoch);
@@ -305,11 +305,11 @@
         const absl::MutexLock lock(&this->mutex);
         busyNow = ++this->busy;
     }
-    const std::int64_t key = numberIn(request.target, "key", 0);
-    this->write(absl::StrCat("request ", requestId, " ", key, " ", busyNow));
-    Delayed answer;
+    const std::int64_t key = numberAfter(request.target, "key", 0);
+    this->writeLog(absl::StrCat("request ", requestId, " ", key, " ", busyNow));
+    DelayedAnswer answer;
     const bool stalls = this->options.fault == Fault::Stall;
-    answer.due = controlNow() + (stalls ? stallTime : absl::Milliseconds(numberIn(request.target, "delay", 0)));
+    answer.due = controlNow() + (stalls ? stallTime : absl::Milliseconds(numberAfter(request.target, "delay", 0)));
     answer.exchange = exchange;
     const std::string sentId = this->options.fault == Fault::WrongId ? "someone-elses" : requestId;
     const int status = this->options.fault == Fault::FailEverything ? 500 : 200;
@@ -320,12 +320,12 @@
     this->delayed.push(std::move(answer));
 }
 
-void StandinWorker::answerDue()
+void StandinWorker::sendDueAnswers()
 {
     const Timestamp now = controlNow();
     const absl::MutexLock lock(&this->mutex);
     while (!this->delayed.empty() && this->delayed.top().due <= now) {
-        const Delayed answer = this->delayed.top();
+        const DelayedAnswer answer = this->delayed.top();
         this->delayed.pop();
         --this->busy;
         answer.exchange->respond(answer.answer);
@@ -342,11 +342,11 @@
     address.sin_port = htons(this->options.address.port);
     inet_pton(AF_INET, this->options.address.address.c_str(), &address.sin_addr);
     if (::bind(this->rawListener, reinterpret_cast<const sockaddr *>(&address), sizeof(address)) != 0 || ::listen(this->rawListener, SOMAXCONN) != 0) {
-        throw InvalidArgumentError("can't listen on " + this->options.address.text());
+        throw InvalidArgumentError("cannot listen on " + this->options.address.text());
     }
     while (!this->stopping) {
-        pollfd waiting{this->rawListener, POLLIN, 0};
-        if (::poll(&waiting, 1, 20) <= 0) {
+        pollfd entry{this->rawListener, POLLIN, 0};
+        if (::poll(&entry, 1, 20) <= 0) {
             continue;
         }
         const int connection = ::accept(this->rawListener, nullptr, nullptr);
@@ -356,7 +356,7 @@
         const std::string name = absl::StrCat(instance::requestIdHeader, ": ");
         const std::size_t at = text.find(name);
         const std::string id = at == std::string::npos ? "" : text.substr(at + name.size(), text.find("\r\n", at) - at - name.size());
-        this->write(absl::StrCat("request ", id, " 0 1"));
+        this->writeLog(absl::StrCat("request ", id, " 0 1"));
         const bool truncates = this->options.fault == Fault::Truncate;
         const std::size_t targetAt = text.find(' ') + 1;
         const std::string body = absl::StrCat("answer to ", text.substr(targetAt, text.find(' ', targetAt) - targetAt), " ");
