--- a/testing/worker.h
+++ b/testing/worker.h
@@ -1,14 +1,14 @@
-// Stand-in of a backend server: announces itself, runs fake tasks under leases and serves quick requests.
+// Stand-in for a backend server: announces itself, runs simulated tasks under leases and serves quick requests.
 //
-// It keeps to docs/PROTOCOL.md, or breaks it in one stated way (`Fault`). Everything that it does goes to a log of plain
-// lines, from which testing/checker.h finds out whether a promise was broken:
+// It follows docs/PROTOCOL.md, or violates it in one defined way (`Fault`). It logs each event as a line of text, from which
+// testing/checker.h detects violations of the scheduler's guarantees:
 //
 //     MICROS task-start JOB INDEX EPOCH MILLIPROCESSORS MEMORY ACCELERATORS
 //     MICROS task-end JOB INDEX EPOCH
 //     MICROS request ID KEY BUSY-SLOTS
 //     MICROS drain
 //
-// Micros are the machine's monotonic clock, the same for all processes.
+// MICROS is the machine's monotonic clock, which all processes share.
 // Thread safety: all methods may be called from any thread.
 
 #ifndef PADDLEPIER_TESTING_WORKER_H
@@ -33,7 +33,7 @@
 namespace paddlepier::testing
 {
 
-/** Ways in which the stand-in breaks its part of the protocol. */
+/** How the stand-in misbehaves: it cuts responses short, sends the id of another request, answers after 30 s, fails everything, or answers twice. */
 enum class Fault { None, Truncate, WrongId, Stall, FailEverything, Doubled };
 
 /** @throws InvalidArgumentError for an unknown name */
@@ -52,7 +52,7 @@
     std::uint32_t connections = 64;
     std::string logPath;
     Fault fault = Fault::None;
-    /** Drains after this time; never if infinite. */
+    /** Time from start to drain; infinite: never drains. */
     Duration drainAfter = absl::InfiniteDuration();
 };
 
@@ -76,11 +76,11 @@
         Timestamp end;
         wire::AttemptOutcome outcome = wire::AttemptOutcome::Succeeded;
     };
-    struct Delayed {
+    struct DelayedAnswer {
         Timestamp due;
         std::shared_ptr<http::Exchange> exchange;
         http::Response answer;
-        bool operator<(const Delayed &other) const
+        bool operator<(const DelayedAnswer &other) const
         {
             return this->due > other.due;
         }
@@ -95,16 +95,16 @@
     void startTask(const wire::AssignmentT &assignment);
     void stopTask(const TaskKey &key);
     void serve(const std::shared_ptr<http::Exchange> &exchange);
-    void answerDue();
+    void sendDueAnswers();
     void serveRaw();
-    void write(const std::string &line);
+    void writeLog(const std::string &line);
 
     const WorkerOptions options;
     absl::Mutex mutex;
     std::ofstream log ABSL_GUARDED_BY(mutex);
     std::map<TaskKey, Task> running ABSL_GUARDED_BY(mutex);
     std::vector<wire::FinishedAttemptT> finished ABSL_GUARDED_BY(mutex);
-    std::priority_queue<Delayed> delayed ABSL_GUARDED_BY(mutex);
+    std::priority_queue<DelayedAnswer> delayed ABSL_GUARDED_BY(mutex);
     std::uint32_t busy ABSL_GUARDED_BY(mutex) = 0;
     std::uint64_t term = 0;
     std::uint64_t sequence = 0;
@@ -113,10 +113,10 @@
     std::size_t nextEntry = 0;
     http::TransferPool pool;
     Timestamp nextAnnouncement = absl::InfinitePast();
-    Timestamp giveUpAt = absl::InfinitePast();
+    Timestamp announceDeadline = absl::InfinitePast();
     bool isAnnouncementInFlight = false;
-    /** A task has started or ended since the last announcement. */
-    bool hasNews = false;
+    /** Whether a task or the draining state has changed since the last announcement. */
+    bool hasUnreportedChange = false;
     std::atomic<bool> draining{false};
     std::atomic<bool> stopping{false};
     int rawListener = -1;
