--- a/paddlepier/planning/advicecache.cpp
+++ b/paddlepier/planning/advicecache.cpp
@@ -1,4 +1,4 @@
-// What the policy service has said.
+// Cache of the policy service's answers.
 
 #include "paddlepier/planning/advicecache.h"
 
@@ -10,13 +10,13 @@
 namespace
 {
 
-/** A ticket isn't used in the last part of its life: commit and order take some tens of milliseconds. */
+/** Tickets are treated as expired this much earlier, since the commit and the order to the worker take some tens of milliseconds. */
 constexpr Duration ticketMargin = absl::Milliseconds(250);
 
-/** Weight of the past in a queue's share of permitted workers, for each worker newly asked about. */
-constexpr double shareMemory = 0.98;
+/** Decay factor of a queue's share of permitted workers, applied for each worker in an answer. */
+constexpr double shareDecay = 0.98;
 
-/** Pause after a question without an answer, so that it isn't asked again in every plan. */
+/** Pause after a request without an answer, so that it isn't repeated in every plan. */
 constexpr Duration unansweredPause = absl::Milliseconds(60);
 
 } // namespace
@@ -31,12 +31,12 @@
     return this->numbers.try_emplace(worker, static_cast<std::uint32_t>(this->numbers.size())).first->second;
 }
 
-AdviceStatus AdviceCache::statusOf(Timestamp now, const WorkerAdvice &word)
+AdviceStatus AdviceCache::statusOf(Timestamp now, const WorkerAdvice &workerAdvice)
 {
-    if (!word.isPermitted) {
+    if (!workerAdvice.isPermitted) {
         return AdviceStatus::Forbidden;
     }
-    return word.ticket.validUntil > now ? AdviceStatus::Permitted : AdviceStatus::Expired;
+    return workerAdvice.ticket.validUntil > now ? AdviceStatus::Permitted : AdviceStatus::Expired;
 }
 
 StepAdvice AdviceCache::adviceFor(Timestamp now, const workload::StepKey &step) const
@@ -46,7 +46,7 @@
         return {};
     }
     const Entry &entry = found->second;
-    return {entry.lastTicketExpiry > now, entry.pendingQuestions > 0, entry.pendingQuestions == 0 && entry.notBefore <= now};
+    return {entry.lastTicketExpiry > now, entry.pendingRequests > 0, entry.pendingRequests == 0 && entry.notBefore <= now};
 }
 
 const Ticket *AdviceCache::validTicket(Timestamp now, const workload::StepKey &step, const workload::Incarnation &worker) const
@@ -56,21 +56,22 @@
     if (found == this->steps.end() || number == this->numbers.end()) {
         return nullptr;
     }
-    const auto word = found->second.byWorker.find(number->second);
-    return word != found->second.byWorker.end() && statusOf(now, word->second) == AdviceStatus::Permitted ? &word->second.ticket : nullptr;
+    const auto workerAdvice = found->second.byWorker.find(number->second);
+    return workerAdvice != found->second.byWorker.end() && statusOf(now, workerAdvice->second) == AdviceStatus::Permitted ? &workerAdvice->second.ticket
+                                                                                                                          : nullptr;
 }
 
 execution::AdviceRequest AdviceCache::request(
     Timestamp now, const workload::StepKey &step, const std::string &queue, std::vector<workload::Incarnation> workers, const work::AdvicePolicyT &policy)
 {
-    execution::AdviceRequest question;
-    question.id = this->nextId++;
-    question.step = step;
-    question.decisionTime = costOf(policy, workers.size());
-    question.workers = workers;
-    this->pending[question.id] = {step, queue, std::move(workers), now + question.decisionTime, absl::Milliseconds(policy.validMillis)};
-    ++this->steps[step].pendingQuestions;
-    return question;
+    execution::AdviceRequest adviceRequest;
+    adviceRequest.id = this->nextId++;
+    adviceRequest.step = step;
+    adviceRequest.decisionTime = costOf(policy, workers.size());
+    adviceRequest.workers = workers;
+    this->pending[adviceRequest.id] = {step, queue, std::move(workers), now + adviceRequest.decisionTime, absl::Milliseconds(policy.validMillis)};
+    ++this->steps[step].pendingRequests;
+    return adviceRequest;
 }
 
 void AdviceCache::recordAnswer(Timestamp now, std::uint64_t id, const execution::AdviceAnswer &answer)
@@ -79,32 +80,32 @@
     if (found == this->pending.end()) {
         return;
     }
-    const Pending asked = std::move(found->second);
+    const Pending request = std::move(found->second);
     this->pending.erase(found);
-    const auto step = this->steps.find(asked.step);
+    const auto step = this->steps.find(request.step);
     if (step == this->steps.end()) {
         return;
     }
     Entry &advice = step->second;
-    advice.pendingQuestions -= std::min<std::size_t>(advice.pendingQuestions, 1);
+    advice.pendingRequests -= std::min<std::size_t>(advice.pendingRequests, 1);
     if (!answer.isAnswered) {
         advice.notBefore = now + unansweredPause;
         return;
     }
-    // The answer may have been long on its way, above all where this process is slow; its tickets weren't given before the service had
-    // taken its time.
-    const Timestamp validUntil = std::min(now, asked.earliestAnswer) + asked.valid - ticketMargin;
-    Share &share = this->shares[asked.queue];
-    for (const workload::Incarnation &worker : asked.workers) {
-        const auto good =
+    // The answer may have been delayed on its way, especially if this process is slow. The tickets were issued no earlier than the
+    // service's processing time after the request.
+    const Timestamp validUntil = std::min(now, request.earliestAnswer) + request.valid - ticketMargin;
+    Share &share = this->shares[request.queue];
+    for (const workload::Incarnation &worker : request.workers) {
+        const auto ticket =
             std::find_if(answer.tickets.begin(), answer.tickets.end(), [&](const work::AdviceTicketT &entry) { return entry.worker == worker.id; });
-        share.permitted = share.permitted * shareMemory + (good != answer.tickets.end() ? 1 : 0);
-        share.asked = share.asked * shareMemory + 1;
-        if (good != answer.tickets.end()) {
-            advice.byWorker[this->numberOf(worker)] = {true, {good->ticket, validUntil}};
+        share.permitted = share.permitted * shareDecay + (ticket != answer.tickets.end() ? 1 : 0);
+        share.requested = share.requested * shareDecay + 1;
+        if (ticket != answer.tickets.end()) {
+            advice.byWorker[this->numberOf(worker)] = {true, {ticket->ticket, validUntil}};
             advice.lastTicketExpiry = std::max(advice.lastTicketExpiry, validUntil);
         } else {
-            // That a worker may run a step never changes.
+            // Permission never changes, so that a known permission isn't overwritten.
             advice.byWorker.try_emplace(this->numberOf(worker));
         }
     }
@@ -122,16 +123,16 @@
     if (found == this->steps.end() || number == this->numbers.end()) {
         return;
     }
-    const auto word = found->second.byWorker.find(number->second);
-    if (word != found->second.byWorker.end() && word->second.isPermitted) {
-        word->second.ticket.validUntil = absl::InfinitePast();
+    const auto workerAdvice = found->second.byWorker.find(number->second);
+    if (workerAdvice != found->second.byWorker.end() && workerAdvice->second.isPermitted) {
+        workerAdvice->second.ticket.validUntil = absl::InfinitePast();
     }
 }
 
 double AdviceCache::permittedShare(const std::string &queue) const
 {
     const auto found = this->shares.find(queue);
-    return found == this->shares.end() ? 0.5 : std::clamp(found->second.permitted / found->second.asked, 0.05, 1.0);
+    return found == this->shares.end() ? 0.5 : std::clamp(found->second.permitted / found->second.requested, 0.05, 1.0);
 }
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/advicecache.h
+++ b/paddlepier/planning/advicecache.h
@@ -1,14 +1,14 @@
-// What the policy service has said about which workers may run which step.
+// Cache of the policy service's answers: which workers may run which step.
 //
-// The service is slow and takes one call at a time from each caller, so that answers are kept: that a worker may run a
-// step never changes during a life of the worker, but its ticket ends after a while and has to be asked for again.
+// The service is slow and processes one call at a time from each caller, so that answers are cached. Whether a worker may run a
+// step never changes during the worker's incarnation, but the ticket expires after a while and must be requested again.
 //
 // Example:
-//     const auto question = book.ask(now, step, workers, policy);
-//     book.answer(now, question.id, answer);
-//     if (const Ticket *ticket = book.validTicket(now, step, worker)) { ... }
+//     const auto request = cache.request(now, step, queue, workers, policy);
+//     cache.recordAnswer(now, request.id, answer);
+//     if (const Ticket *ticket = cache.validTicket(now, step, worker)) { ... }
 //
-// Thread safety: none; owned by the control thread. Every call is O(1) a worker, but for answer(): O(log n).
+// Thread safety: none; owned by the control thread. Every call is O(1) for each worker, except recordAnswer(): O(log n).
 
 #ifndef PADDLEPIER_PLANNING_ADVICECACHE_H
 #define PADDLEPIER_PLANNING_ADVICECACHE_H
@@ -29,7 +29,7 @@
 namespace paddlepier::planning
 {
 
-/** Questions over this cost are long: several short ones fit into it. */
+/** Requests that take the policy service longer than this are long; several short ones fit into that time. */
 constexpr Duration longRequestThreshold = absl::Milliseconds(100);
 
 struct Ticket {
@@ -37,38 +37,38 @@
     Timestamp validUntil;
 };
 
-/** How a step stands with the policy service. */
+/** State of the advice for one step. */
 struct StepAdvice {
-    /** There may be a worker with a ticket that is still good. */
+    /** A worker may have a valid ticket. */
     bool mayHaveTicket = false;
-    /** An answer is awaited. */
+    /** A request is pending. */
     bool isPending = false;
-    /** False while an answer is awaited, and for a short while after a question that got none. */
+    /** False while a request is pending, and for a short pause after a request without an answer. */
     bool mayRequest = true;
 };
 
 enum class AdviceStatus { NotRequested, Forbidden, Permitted, Expired };
 
-/** Time that the policy service takes for a question about so many workers. */
+/** Time that the policy service takes for a request about @p workers workers. */
 Duration costOf(const work::AdvicePolicyT &policy, std::size_t workers);
 
 class AdviceCache
 {
 public:
-    /** Number of @p worker in this book; it stays the same. */
+    /** Number of @p worker in this cache; it never changes. */
     std::uint32_t numberOf(const workload::Incarnation &worker);
-    /** Calls @p visit(number, standing) for each worker that the service has told about; O(1) each. */
+    /** Calls @p visit(number, status) for each worker with advice on the step; O(1) each. */
     template<typename Visit>
     void visitStatuses(Timestamp now, const workload::StepKey &step, Visit visit) const
     {
         const auto found = this->steps.find(step);
         if (found != this->steps.end()) {
-            for (const auto &[number, word] : found->second.byWorker) {
-                visit(number, statusOf(now, word));
+            for (const auto &[number, workerAdvice] : found->second.byWorker) {
+                visit(number, statusOf(now, workerAdvice));
             }
         }
     }
-    /** @p holds of the number of a worker with a ticket that is still good; O(workers that the service has told about). */
+    /** True if @p holds returns true for the number of a worker with a valid ticket; O(workers with advice on the step). */
     template<typename Predicate>
     bool anyPermitted(Timestamp now, const workload::StepKey &step, Predicate holds) const
     {
@@ -78,21 +78,21 @@
                });
     }
     StepAdvice adviceFor(Timestamp now, const workload::StepKey &step) const;
-    /** Null unless the worker may run the step and the ticket is still good. */
+    /** Null unless the worker may run the step and its ticket is valid. */
     const Ticket *validTicket(Timestamp now, const workload::StepKey &step, const workload::Incarnation &worker) const;
 
     execution::AdviceRequest request(
         Timestamp now, const workload::StepKey &step, const std::string &queue, std::vector<workload::Incarnation> workers, const work::AdvicePolicyT &policy);
     void recordAnswer(Timestamp now, std::uint64_t id, const execution::AdviceAnswer &answer);
-    /** Questions without an answer so far. */
+    /** Number of requests without an answer so far. */
     std::size_t pendingQuestions() const;
-    /** A worker has refused the ticket. */
+    /** Marks the ticket as expired, because the worker rejected it. */
     void rejectTicket(const workload::StepKey &step, const workload::Incarnation &worker);
-    /** Drops what is known for jobs that @p isOver says to have ended; O(steps). */
+    /** Removes the advice for jobs for which @p hasEnded returns true; O(steps). */
     template<typename Predicate>
-    void removeEndedJobs(Predicate isOver)
+    void removeEndedJobs(Predicate hasEnded)
     {
-        absl::erase_if(this->steps, [&isOver](const auto &entry) { return isOver(entry.first.job); });
+        absl::erase_if(this->steps, [&hasEnded](const auto &entry) { return hasEnded(entry.first.job); });
     }
 
     /** Learned share of a service's workers that may run a step of @p queue. */
@@ -106,24 +106,25 @@
         Timestamp earliestAnswer;
         Duration valid;
     };
-    /** What was said of one worker; without a ticket if it is forbidden. */
+    /** Advice on one worker; without a ticket if the worker is forbidden. */
     struct WorkerAdvice {
         bool isPermitted = false;
         Ticket ticket;
     };
     struct Entry {
         absl::flat_hash_map<std::uint32_t, WorkerAdvice> byWorker;
-        /** No ticket is good any longer than this. */
+        /** Latest expiry of all tickets of the step. */
         Timestamp lastTicketExpiry = absl::InfinitePast();
-        std::size_t pendingQuestions = 0;
+        std::size_t pendingRequests = 0;
         Timestamp notBefore = absl::InfinitePast();
     };
+    /** Exponentially decayed numbers of permitted workers, and of workers named by answered requests. */
     struct Share {
         double permitted = 1.0;
-        double asked = 2.0;
+        double requested = 2.0;
     };
 
-    static AdviceStatus statusOf(Timestamp now, const WorkerAdvice &word);
+    static AdviceStatus statusOf(Timestamp now, const WorkerAdvice &workerAdvice);
 
     absl::flat_hash_map<workload::Incarnation, std::uint32_t, workload::IncarnationHash> numbers;
     absl::flat_hash_map<workload::StepKey, Entry, workload::StepKeyHash> steps;
--- a/paddlepier/planning/advicerequester.cpp
+++ b/paddlepier/planning/advicerequester.cpp
@@ -1,4 +1,4 @@
-// What to ask the policy service, and which room to keep until it answers.
+// Requests advice from the policy service, and reserves capacity until the answer arrives.
 
 #include "paddlepier/planning/advicerequester.h"
 
@@ -14,118 +14,121 @@
 namespace
 {
 
-/** Most workers that one question names; the policy service takes a hundred. */
-constexpr std::size_t mostWorkersAsked = 60;
+/** Limit of workers named by one request; the policy service accepts up to a hundred. */
+constexpr std::size_t maxWorkersNamed = 60;
 
 /**
- * The best of so many are asked about. A cell has thousands with room, which differ little within a data centre; to judge them all would
- * cost more than the choice is worth.
+ * The best of this many candidates are named. A cell has thousands of workers with free capacity, which differ little within a data centre;
+ * evaluating all of them would cost more than the better choice gains.
  */
-constexpr std::size_t enoughCandidates = 4 * mostWorkersAsked;
+constexpr std::size_t maxCandidates = 4 * maxWorkersNamed;
 
-/** Workers asked about beyond what the share of permitted ones makes likely to be enough. */
-constexpr double askedSurplus = 1.3;
-constexpr std::size_t leastWorkersAsked = 3;
+/** Factor by which the expected number of permitted task slots should exceed the number of waiting tasks. */
+constexpr double permittedSurplus = 1.3;
+constexpr std::size_t minWorkersNamed = 3;
 
 /**
- * A question costs a fixed time and a little for each worker; naming more workers until they make up this part of the fixed
- * time saves later questions.
+ * A request costs a fixed time and a small time for each worker. Naming workers until their time reaches this share of the fixed time
+ * saves later requests.
  */
-constexpr double marginalShare = 0.35;
+constexpr double marginalCostShare = 0.35;
 
-/** A question that renews tickets names a few workers. */
-constexpr double workersOfARenewal = 6;
+/** Typical number of workers named by a request that renews tickets. */
+constexpr double workersPerRenewal = 6;
 
-/** How many workers a question names at least. */
-std::size_t leastAsked(const work::AdvicePolicyT &policy)
+/** Minimum number of workers named by a request. */
+std::size_t minWorkersToName(const work::AdvicePolicyT &policy)
 {
-    const double cheap = policy.perWorkerMillis > 0 ? marginalShare * policy.decisionMillis / policy.perWorkerMillis : static_cast<double>(mostWorkersAsked);
-    return std::clamp(static_cast<std::size_t>(cheap), leastWorkersAsked, mostWorkersAsked);
+    const double withinCostShare =
+        policy.perWorkerMillis > 0 ? marginalCostShare * policy.decisionMillis / policy.perWorkerMillis : static_cast<double>(maxWorkersNamed);
+    return std::clamp(static_cast<std::size_t>(withinCostShare), minWorkersNamed, maxWorkersNamed);
 }
 
 bool isLong(const work::AdvicePolicyT &policy)
 {
-    return costOf(policy, leastAsked(policy)) > longRequestThreshold;
+    return costOf(policy, minWorkersToName(policy)) > longRequestThreshold;
 }
 
 } // namespace
 
-AdviceRequester::AdviceRequester(CapacityIndex &planRooms, CapacityReserver &roomKeeper, AdviceCache &book)
-    : capacityIndex(planRooms)
-    , reserver(roomKeeper)
-    , adviceCache(book)
+AdviceRequester::AdviceRequester(CapacityIndex &planIndex, CapacityReserver &capacityReserver, AdviceCache &cache)
+    : capacityIndex(planIndex)
+    , reserver(capacityReserver)
+    , adviceCache(cache)
 {
 }
 
-void AdviceRequester::begin(const AdviceBudget &questionBudget)
+void AdviceRequester::begin(const AdviceBudget &adviceBudget)
 {
-    this->budget = questionBudget;
+    this->budget = adviceBudget;
 }
 
-bool AdviceRequester::mayRequest(const StepAdvice &known, const work::AdvicePolicyT &policy) const
+bool AdviceRequester::mayRequest(const StepAdvice &stepAdvice, const work::AdvicePolicyT &policy) const
 {
     const bool isCallerFree = isLong(policy) ? this->budget.longRequests > 0 : this->budget.shortRequestTime > absl::ZeroDuration();
-    return isCallerFree && known.mayRequest;
+    return isCallerFree && stepAdvice.mayRequest;
 }
 
-std::optional<execution::AdviceRequest> AdviceRequester::request(Timestamp now, const PendingStep &wanted, const std::vector<FutureCapacity> &coming)
+std::optional<execution::AdviceRequest> AdviceRequester::request(Timestamp now, const PendingStep &pending, const std::vector<FutureCapacity> &futureCapacities)
 {
-    const StepAdvice known = this->adviceCache.adviceFor(now, wanted.key);
-    const bool mayAsk = this->mayRequest(known, *wanted.job->queue().advice);
-    if (!mayAsk && !known.isPending) {
+    const StepAdvice stepAdvice = this->adviceCache.adviceFor(now, pending.key);
+    const bool mayRequest = this->mayRequest(stepAdvice, *pending.job->queue().advice);
+    if (!mayRequest && !stepAdvice.isPending) {
         return std::nullopt;
     }
-    std::vector<Candidate> candidates = this->candidatesFor(wanted, true);
-    addRenewals(candidates, wanted, coming);
-    // For a wide step room is made, or awaited: who may run it has to be known before.
-    if (candidates.empty() && !(coming.empty() && this->reserver.isWide(wanted.job->queue().service, *wanted.step))) {
+    std::vector<Candidate> candidates = this->candidatesFor(pending, true);
+    addRenewals(candidates, pending, futureCapacities);
+    // Capacity for a wide step has to be freed or awaited on a permitted worker, so that permissions are requested before any is free.
+    if (candidates.empty() && !(futureCapacities.empty() && this->reserver.isWide(pending.job->queue().service, *pending.step))) {
         return std::nullopt;
     }
-    if (mayAsk && candidates.size() < mostWorkersAsked) {
-        const std::vector<Candidate> full = this->candidatesFor(wanted, false);
-        candidates.insert(candidates.end(), full.begin(), full.end());
+    if (mayRequest && candidates.size() < maxWorkersNamed) {
+        const std::vector<Candidate> withoutCapacity = this->candidatesFor(pending, false);
+        candidates.insert(candidates.end(), withoutCapacity.begin(), withoutCapacity.end());
     }
-    std::vector<workload::Incarnation> asked = this->reserveAndSelect(wanted, std::move(candidates), mayAsk);
-    if (asked.empty()) {
+    std::vector<workload::Incarnation> named = this->reserveAndSelect(pending, std::move(candidates), mayRequest);
+    if (named.empty()) {
         return std::nullopt;
     }
-    const work::QueueSpecT &queue = wanted.job->queue();
+    const work::QueueSpecT &queue = pending.job->queue();
     if (isLong(*queue.advice)) {
         --this->budget.longRequests;
     } else {
-        this->budget.shortRequestTime -= costOf(*queue.advice, asked.size());
+        this->budget.shortRequestTime -= costOf(*queue.advice, named.size());
     }
-    return this->adviceCache.request(now, wanted.key, queue.name, std::move(asked), *queue.advice);
+    return this->adviceCache.request(now, pending.key, queue.name, std::move(named), *queue.advice);
 }
 
-std::vector<AdviceRequester::Candidate> AdviceRequester::candidatesFor(const PendingStep &wanted, bool withRoom)
+std::vector<AdviceRequester::Candidate> AdviceRequester::candidatesFor(const PendingStep &pending, bool withCapacity)
 {
     std::vector<Candidate> candidates;
-    const std::uint32_t service = this->capacityIndex.serviceNumber(wanted.job->queue().service);
-    this->capacityIndex.visitByPreference(wanted, [&](WorkerCapacity &room) {
-        // A ticket without room now would have ended by the time that there is some; that a worker may run the step stays known.
-        const bool isOpen = room.adviceStatus == AdviceStatus::NotRequested || (withRoom && room.adviceStatus == AdviceStatus::Expired);
-        if (isOpen && room.fits(*wanted.step) == withRoom && mayRun(room, wanted, service) && isBelowPerWorkerLimit(room, wanted) && isAcceptable(room)) {
-            candidates.push_back({&room, withRoom, room.adviceStatus == AdviceStatus::Expired, penaltyOf(room, wanted)});
+    const std::uint32_t service = this->capacityIndex.serviceNumber(pending.job->queue().service);
+    this->capacityIndex.visitByPreference(pending, [&](WorkerCapacity &worker) {
+        // A worker without free capacity doesn't need its ticket renewed: it would expire before capacity is free, and the permission is known.
+        const bool needsAdvice = worker.adviceStatus == AdviceStatus::NotRequested || (withCapacity && worker.adviceStatus == AdviceStatus::Expired);
+        if (needsAdvice && worker.fits(*pending.step) == withCapacity && mayRun(worker, pending, service) && isBelowPerWorkerLimit(worker, pending)
+            && isAcceptable(worker)) {
+            candidates.push_back({&worker, withCapacity, worker.adviceStatus == AdviceStatus::Expired, penaltyOf(worker, pending)});
         }
-        return candidates.size() < enoughCandidates;
+        return candidates.size() < maxCandidates;
     });
     return candidates;
 }
 
-void AdviceRequester::addRenewals(std::vector<Candidate> &candidates, const PendingStep &wanted, const std::vector<FutureCapacity> &coming)
+void AdviceRequester::addRenewals(std::vector<Candidate> &candidates, const PendingStep &pending, const std::vector<FutureCapacity> &futureCapacities)
 {
-    const work::AdvicePolicyT &policy = *wanted.job->queue().advice;
-    const Duration answerTime = absl::Milliseconds(static_cast<std::int64_t>(policy.decisionMillis + policy.perWorkerMillis * workersOfARenewal));
-    for (const FutureCapacity &entry : coming) {
-        const bool isCandidate = std::any_of(candidates.begin(), candidates.end(), [&entry](const Candidate &known) { return known.worker == entry.worker; });
+    const work::AdvicePolicyT &policy = *pending.job->queue().advice;
+    const Duration answerTime = absl::Milliseconds(static_cast<std::int64_t>(policy.decisionMillis + policy.perWorkerMillis * workersPerRenewal));
+    for (const FutureCapacity &entry : futureCapacities) {
+        const bool isCandidate =
+            std::any_of(candidates.begin(), candidates.end(), [&entry](const Candidate &candidate) { return candidate.worker == entry.worker; });
         if (entry.worker->adviceStatus == AdviceStatus::Expired && entry.wait <= answerTime + maxReservationWait && !isCandidate) {
-            candidates.push_back({entry.worker, false, true, penaltyOf(*entry.worker, wanted)});
+            candidates.push_back({entry.worker, false, true, penaltyOf(*entry.worker, pending)});
         }
     }
 }
 
-std::vector<workload::Incarnation> AdviceRequester::reserveAndSelect(const PendingStep &wanted, std::vector<Candidate> candidates, bool mayAsk)
+std::vector<workload::Incarnation> AdviceRequester::reserveAndSelect(const PendingStep &pending, std::vector<Candidate> candidates, bool mayRequest)
 {
     const auto isWorse = [](const Candidate &left, const Candidate &right) {
         const auto group = [](const Candidate &entry) { return (entry.hasCapacity ? 0 : 2) + (entry.isExpired ? 0 : 1); };
@@ -134,35 +137,35 @@
         }
         return left.penalty != right.penalty ? left.penalty > right.penalty : left.worker > right.worker;
     };
-    // Only the first of them are needed: a heap gives them without sorting all.
+    // Only the best candidates are needed; a heap yields them without sorting all.
     std::make_heap(candidates.begin(), candidates.end(), isWorse);
-    const std::size_t least = mayAsk ? leastAsked(*wanted.job->queue().advice) : 0;
-    const double share = this->adviceCache.permittedShare(wanted.job->queue().name);
-    const double needed = static_cast<double>(wanted.tasks.size()) * askedSurplus;
+    const std::size_t minimum = mayRequest ? minWorkersToName(*pending.job->queue().advice) : 0;
+    const double share = this->adviceCache.permittedShare(pending.job->queue().name);
+    const double needed = static_cast<double>(pending.tasks.size()) * permittedSurplus;
     double expected = 0;
-    std::vector<workload::Incarnation> asked;
-    for (std::size_t count = 0; !candidates.empty() && count < mostWorkersAsked && (expected < needed || count < least); ++count) {
+    std::vector<workload::Incarnation> named;
+    for (std::size_t count = 0; !candidates.empty() && count < maxWorkersNamed && (expected < needed || count < minimum); ++count) {
         std::pop_heap(candidates.begin(), candidates.end(), isWorse);
         const Candidate candidate = candidates.back();
         candidates.pop_back();
-        if (mayAsk) {
-            asked.push_back(candidate.worker->incarnation());
+        if (mayRequest) {
+            named.push_back(candidate.worker->incarnation());
         }
         if (expected < needed && candidate.hasCapacity) {
-            expected += this->reserveExpected(wanted, *candidate.worker, candidate.isExpired ? 1.0 : share);
+            expected += this->reserveExpected(pending, *candidate.worker, candidate.isExpired ? 1.0 : share);
         }
     }
-    return asked;
+    return named;
 }
 
-double AdviceRequester::reserveExpected(const PendingStep &wanted, WorkerCapacity &room, double chance)
+double AdviceRequester::reserveExpected(const PendingStep &pending, WorkerCapacity &worker, double chance)
 {
-    std::size_t slots = std::min(room.tasksThatFit(*wanted.step), wanted.tasks.size());
-    if (wanted.step->mostPerWorker > 0) {
-        slots = std::min<std::size_t>(slots, wanted.step->mostPerWorker);
+    std::size_t tasks = std::min(worker.tasksThatFit(*pending.step), pending.tasks.size());
+    if (pending.step->mostPerWorker > 0) {
+        tasks = std::min<std::size_t>(tasks, pending.step->mostPerWorker);
     }
-    const double expected = chance * static_cast<double>(slots);
-    this->capacityIndex.reserve(room, *wanted.step, std::lround(expected));
+    const double expected = chance * static_cast<double>(tasks);
+    this->capacityIndex.reserve(worker, *pending.step, std::lround(expected));
     return expected;
 }
 
--- a/paddlepier/planning/advicerequester.h
+++ b/paddlepier/planning/advicerequester.h
@@ -1,18 +1,18 @@
-// What to ask the policy service about a step, and which room to keep until it answers.
+// Requests advice about steps from the policy service, and reserves capacity until the answer arrives.
 //
-// The service is slow and takes one call at a time from each caller, and its tickets end soon. A step is therefore asked
-// about when some worker has room for it, or will have by the time of the answer; as many workers are named as make it
-// likely that enough of them are permitted, and room is kept there from the steps that come after. Who may run a wide step
-// is asked before there is room at all, since room has to be made for it at a worker that may.
+// The service is slow, processes one call at a time from each caller, and its tickets expire soon. A request for a step is therefore made
+// when some worker has free capacity for it, or will have by the time of the answer. It names enough workers that
+// sufficiently many of them are likely to be permitted, and capacity is reserved on them against later steps. For a wide step the request
+// is made before any capacity is free, since capacity must be freed on a worker that may run it.
 //
-// Questions are limited to those that can be sent at once, so that they go out in the order of the steps: one that nobody is free to
-// ask would be put together again and again, for each of thousands of steps. No room is kept for a step that can't be asked about:
-// others have tickets for it.
+// A plan makes no more requests than can be sent immediately, so that they are sent in the order of the steps; otherwise requests without a
+// free caller would be built again in each plan, for each of thousands of steps. No capacity is reserved for a step whose request can't be
+// sent: other steps have tickets for it.
 //
 // Example:
-//     if (auto question = asking.ask(now, wanted, coming)) { plan.questions.push_back(*question); }
+//     if (auto request = requester.request(now, pending, futureCapacities)) { plan.adviceRequests.push_back(*request); }
 //
-// Thread safety: none; owned by the planner. Cost: ask() is O(workers + workers named x log workers).
+// Thread safety: none; owned by the planner. Cost: request() is O(workers + named workers x log workers).
 
 #ifndef PADDLEPIER_PLANNING_ADVICEREQUESTER_H
 #define PADDLEPIER_PLANNING_ADVICEREQUESTER_H
@@ -32,53 +32,56 @@
 namespace paddlepier::planning
 {
 
-/** Questions that can be sent now. */
+/** Limits on the requests that can be sent now. */
 struct AdviceBudget {
     std::size_t longRequests = std::numeric_limits<std::size_t>::max();
-    /** Time of the policy service that short questions may take together. */
+    /** Total processing time that short requests may take in the policy service. */
     Duration shortRequestTime = absl::InfiniteDuration();
 };
 
 class AdviceRequester
 {
 public:
-    AdviceRequester(CapacityIndex &planRooms, CapacityReserver &roomKeeper, AdviceCache &book);
+    AdviceRequester(CapacityIndex &planIndex, CapacityReserver &capacityReserver, AdviceCache &cache);
 
     /** Begins a plan. */
-    void begin(const AdviceBudget &questionBudget);
-    /** The step that so much is known of may be asked about now, and somebody is free to ask. */
-    bool mayRequest(const StepAdvice &known, const work::AdvicePolicyT &policy) const;
+    void begin(const AdviceBudget &adviceBudget);
+    /** True if a request for a step with the advice @p stepAdvice is allowed now and the budget has a free caller for it. */
+    bool mayRequest(const StepAdvice &stepAdvice, const work::AdvicePolicyT &policy) const;
 
     /**
-     * Keeps room for what is likely to be permitted, and asks if no answer is awaited already.
+     * Reserves capacity for the tasks that are likely to be permitted, and makes a request unless one is pending.
      *
-     * @param coming  room that is kept for the step anyway
+     * @param futureCapacities  capacity that is already reserved for the step
      */
-    std::optional<execution::AdviceRequest> request(Timestamp now, const PendingStep &wanted, const std::vector<FutureCapacity> &coming);
+    std::optional<execution::AdviceRequest> request(Timestamp now, const PendingStep &pending, const std::vector<FutureCapacity> &futureCapacities);
 
 private:
-    /** A worker that the policy service may be asked about. */
+    /** A worker that a request may name. */
     struct Candidate {
         WorkerCapacity *worker;
         bool hasCapacity;
-        /** Known to be permitted; only the ticket is over. */
+        /** Known to be permitted, but its ticket has expired. */
         bool isExpired;
         double penalty;
     };
 
-    /** Workers that the policy service may be asked about, with or without room for a task; of many, those that suit best as a rule. */
-    std::vector<Candidate> candidatesFor(const PendingStep &wanted, bool withRoom);
-    /** Workers whose room comes by the time that the policy service has renewed their tickets. */
-    static void addRenewals(std::vector<Candidate> &candidates, const PendingStep &wanted, const std::vector<FutureCapacity> &coming);
-    /** Keeps room for the step on the best of the candidates. @return workers to ask about; none if it may not ask */
-    std::vector<workload::Incarnation> reserveAndSelect(const PendingStep &wanted, std::vector<Candidate> candidates, bool mayAsk);
-    /** Keeps room for the tasks that are likely to go there. @return how many, in expectation */
-    double reserveExpected(const PendingStep &wanted, WorkerCapacity &room, double chance);
+    /**
+     * Workers that a request may name, with or without free capacity for a task. The number is limited; visiting the step's data centres first
+     * usually finds the workers that suit best.
+     */
+    std::vector<Candidate> candidatesFor(const PendingStep &pending, bool withCapacity);
+    /** Adds workers whose capacity becomes free by the time that the policy service has renewed their tickets. */
+    static void addRenewals(std::vector<Candidate> &candidates, const PendingStep &pending, const std::vector<FutureCapacity> &futureCapacities);
+    /** Reserves capacity for the step on the best of the candidates. @return workers that the request names; none unless @p mayRequest */
+    std::vector<workload::Incarnation> reserveAndSelect(const PendingStep &pending, std::vector<Candidate> candidates, bool mayRequest);
+    /** Reserves capacity for the expected number of tasks on the worker, which is permitted with probability @p chance. @return that number */
+    double reserveExpected(const PendingStep &pending, WorkerCapacity &worker, double chance);
 
     CapacityIndex &capacityIndex;
     CapacityReserver &reserver;
     AdviceCache &adviceCache;
-    /** What is left of the plan's. */
+    /** Remaining budget of the plan. */
     AdviceBudget budget;
 };
 
--- a/paddlepier/planning/capacityindex.cpp
+++ b/paddlepier/planning/capacityindex.cpp
@@ -1,4 +1,4 @@
-// The workers that a plan may use.
+// Index of the free capacity of each worker.
 
 #include "paddlepier/planning/capacityindex.h"
 
@@ -16,17 +16,17 @@
 namespace
 {
 
-constexpr std::uint32_t noRoom = std::numeric_limits<std::uint32_t>::max();
+constexpr std::uint32_t noEntry = std::numeric_limits<std::uint32_t>::max();
 
-/** Each plan reads one room of so many that nothing is known to have happened to. */
-constexpr std::size_t roomsPerReadInTurn = 128;
+/** Each plan reads one entry in this many without a known change, round-robin. */
+constexpr std::size_t entriesPerRoundRobinRead = 128;
 
 } // namespace
 
-CapacityIndex::CapacityIndex(const workload::Workload &workloadState, const execution::WorkerViews &workerViews, AdviceCache &adviceBook)
+CapacityIndex::CapacityIndex(const workload::Workload &workloadState, const execution::WorkerViews &workerViews, AdviceCache &cache)
     : state(workloadState)
     , views(workerViews)
-    , adviceCache(adviceBook)
+    , adviceCache(cache)
 {
 }
 
@@ -59,17 +59,17 @@
     this->withSuperseded.clear();
     this->overdueWorkers = 0;
     this->excludesOverdue = true;
-    std::fill(this->byAdviceNumber.begin(), this->byAdviceNumber.end(), noRoom);
+    std::fill(this->byAdviceNumber.begin(), this->byAdviceNumber.end(), noEntry);
     std::set<std::string> names;
-    for (const auto &[life, worker] : this->state.workers()) {
+    for (const auto &[incarnation, worker] : this->state.workers()) {
         names.insert(worker.registration.zone);
     }
     this->dataCentres.assign(names.begin(), names.end());
     this->byDataCentre.assign(names.size(), {});
     this->usableWorkers.assign(names.size(), 0);
     this->entries.reserve(this->state.workers().size());
-    for (const auto &[life, worker] : this->state.workers()) {
-        this->add(life, worker, this->dataCentreNamed(worker.registration.zone));
+    for (const auto &[incarnation, worker] : this->state.workers()) {
+        this->add(incarnation, worker, this->dataCentreNamed(worker.registration.zone));
         this->read(now, static_cast<std::uint32_t>(this->entries.size() - 1));
     }
     this->readUntil = this->state.workerChanges().end();
@@ -78,8 +78,8 @@
 bool CapacityIndex::readChanges(Timestamp now)
 {
     std::vector<workload::Incarnation> changed;
-    const auto note = [&changed](const workload::Incarnation &life) { changed.push_back(life); };
-    if (!this->state.workerChanges().visitSince(this->readUntil, note)) {
+    const auto add = [&changed](const workload::Incarnation &incarnation) { changed.push_back(incarnation); };
+    if (!this->state.workerChanges().visitSince(this->readUntil, add)) {
         return false;
     }
     this->readUntil = this->state.workerChanges().end();
@@ -87,12 +87,12 @@
     this->changedViews.clear();
     std::sort(changed.begin(), changed.end());
     changed.erase(std::unique(changed.begin(), changed.end()), changed.end());
-    for (const workload::Incarnation &life : changed) {
-        if (!this->read(now, life)) {
+    for (const workload::Incarnation &incarnation : changed) {
+        if (!this->read(now, incarnation)) {
             return false;
         }
     }
-    // All that is left has its worker still.
+    // After the changes above, each entry that isn't vacant refers to a worker that still exists.
     for (const std::uint32_t number : std::exchange(this->modified, {})) {
         if (this->entries[number].record != nullptr) {
             this->read(now, number);
@@ -108,24 +108,24 @@
 
 void CapacityIndex::readRoundRobin(Timestamp now)
 {
-    const std::size_t count = this->entries.empty() ? 0 : 1 + this->entries.size() / roomsPerReadInTurn;
+    const std::size_t count = this->entries.empty() ? 0 : 1 + this->entries.size() / entriesPerRoundRobinRead;
     for (std::size_t read = 0; read < count; ++read) {
-        this->nextRoundRobin = (this->nextRoundRobin + 1) % this->entries.size();
-        if (this->entries[this->nextRoundRobin].record != nullptr) {
-            this->read(now, static_cast<std::uint32_t>(this->nextRoundRobin));
+        this->lastRoundRobin = (this->lastRoundRobin + 1) % this->entries.size();
+        if (this->entries[this->lastRoundRobin].record != nullptr) {
+            this->read(now, static_cast<std::uint32_t>(this->lastRoundRobin));
         }
     }
 }
 
-bool CapacityIndex::read(Timestamp now, const workload::Incarnation &life)
+bool CapacityIndex::read(Timestamp now, const workload::Incarnation &incarnation)
 {
-    const auto worker = this->state.workers().find(life);
+    const auto worker = this->state.workers().find(incarnation);
     if (worker == this->state.workers().end()) {
-        this->remove(life);
+        this->remove(incarnation);
         return true;
     }
     const std::uint32_t dataCentre = this->dataCentreNamed(worker->second.registration.zone);
-    const auto known = this->byWorker.find(life);
+    const auto known = this->byWorker.find(incarnation);
     const bool isMoved = known != this->byWorker.end() && this->entries[known->second].dataCentre != dataCentre;
     if (dataCentre == noDataCentre || isMoved) {
         return false;
@@ -133,16 +133,16 @@
     if (known == this->byWorker.end()) {
         this->add(worker->first, worker->second, dataCentre);
     } else {
-        // The same life may have gone and come.
+        // The same incarnation may have been removed and added again, which invalidates the pointers.
         this->entries[known->second].incarnationKey = &worker->first;
         this->entries[known->second].record = &worker->second;
         this->entries[known->second].view = nullptr;
     }
-    this->read(now, this->byWorker.at(life));
+    this->read(now, this->byWorker.at(incarnation));
     return true;
 }
 
-void CapacityIndex::add(const workload::Incarnation &life, const workload::Worker &worker, std::uint32_t dataCentre)
+void CapacityIndex::add(const workload::Incarnation &incarnation, const workload::Worker &worker, std::uint32_t dataCentre)
 {
     auto number = static_cast<std::uint32_t>(this->entries.size());
     if (this->vacantEntries.empty()) {
@@ -151,85 +151,85 @@
         number = this->vacantEntries.back();
         this->vacantEntries.pop_back();
     }
-    WorkerCapacity &room = this->entries[number] = WorkerCapacity();
-    room.incarnationKey = &life;
-    room.record = &worker;
-    room.dataCentre = dataCentre;
-    room.adviceNumber = this->adviceCache.numberOf(life);
-    this->byWorker[life] = number;
+    WorkerCapacity &entry = this->entries[number] = WorkerCapacity();
+    entry.incarnationKey = &incarnation;
+    entry.record = &worker;
+    entry.dataCentre = dataCentre;
+    entry.adviceNumber = this->adviceCache.numberOf(incarnation);
+    this->byWorker[incarnation] = number;
     std::vector<std::uint32_t> &neighbours = this->byDataCentre[dataCentre];
     neighbours.insert(std::lower_bound(neighbours.begin(), neighbours.end(), number), number);
-    if (room.adviceNumber >= this->byAdviceNumber.size()) {
-        this->byAdviceNumber.resize(room.adviceNumber + 1, noRoom);
+    if (entry.adviceNumber >= this->byAdviceNumber.size()) {
+        this->byAdviceNumber.resize(entry.adviceNumber + 1, noEntry);
     }
-    this->byAdviceNumber[room.adviceNumber] = number;
+    this->byAdviceNumber[entry.adviceNumber] = number;
 }
 
-void CapacityIndex::remove(const workload::Incarnation &life)
+void CapacityIndex::remove(const workload::Incarnation &incarnation)
 {
-    const auto known = this->byWorker.find(life);
+    const auto known = this->byWorker.find(incarnation);
     if (known == this->byWorker.end()) {
         return;
     }
     const std::uint32_t number = known->second;
-    WorkerCapacity &room = this->entries[number];
-    this->setUsable(room, false);
-    this->overdueWorkers -= room.isOverdue ? 1 : 0;
-    std::vector<std::uint32_t> &neighbours = this->byDataCentre[room.dataCentre];
+    WorkerCapacity &entry = this->entries[number];
+    this->setUsable(entry, false);
+    this->overdueWorkers -= entry.isOverdue ? 1 : 0;
+    std::vector<std::uint32_t> &neighbours = this->byDataCentre[entry.dataCentre];
     neighbours.erase(std::lower_bound(neighbours.begin(), neighbours.end(), number));
-    this->byAdviceNumber[room.adviceNumber] = noRoom;
+    this->byAdviceNumber[entry.adviceNumber] = noEntry;
     this->withSuperseded.erase(number);
     this->byWorker.erase(known);
-    room = WorkerCapacity();
+    entry = WorkerCapacity();
     this->vacantEntries.push_back(number);
 }
 
 void CapacityIndex::read(Timestamp now, std::uint32_t number)
 {
     ++this->readCount;
-    WorkerCapacity &room = this->entries[number];
-    if (room.view == nullptr) {
-        const auto view = this->views.find(*room.incarnationKey);
-        room.view = view == this->views.end() ? nullptr : &view->second;
+    WorkerCapacity &entry = this->entries[number];
+    if (entry.view == nullptr) {
+        const auto view = this->views.find(*entry.incarnationKey);
+        entry.view = view == this->views.end() ? nullptr : &view->second;
     }
-    const workload::Worker &worker = *room.record;
+    const workload::Worker &worker = *entry.record;
     const work::Demand &capacity = *worker.registration.capacity;
-    room.service = this->addService(worker.registration.service);
-    room.isSpare = this->spareServices[room.service];
-    room.freeProcessors = worker.freeMilliProcessors();
-    room.freeMemory = static_cast<std::int64_t>(capacity.memoryMegabytes()) - static_cast<std::int64_t>(worker.reservedMemoryMegabytes);
-    room.freeAccelerators = static_cast<std::int64_t>(capacity.accelerators()) - static_cast<std::int64_t>(worker.reservedAccelerators);
-    room.releasingProcessors = 0;
-    room.suspectRuns = 0;
-    room.isIsolated = false;
-    room.isModified = false;
-    room.isOnProbation = room.view != nullptr && room.view->consecutiveFailures > 0 && room.view->suspectUntil <= now;
-    const bool isOverdue = room.view != nullptr && room.view->isOverdue(now);
+    entry.service = this->addService(worker.registration.service);
+    entry.isSpare = this->spareServices[entry.service];
+    entry.freeProcessors = worker.freeMilliProcessors();
+    entry.freeMemory = static_cast<std::int64_t>(capacity.memoryMegabytes()) - static_cast<std::int64_t>(worker.reservedMemoryMegabytes);
+    entry.freeAccelerators = static_cast<std::int64_t>(capacity.accelerators()) - static_cast<std::int64_t>(worker.reservedAccelerators);
+    entry.releasingProcessors = 0;
+    entry.suspectRuns = 0;
+    entry.isIsolated = false;
+    entry.isModified = false;
+    entry.isOnProbation = entry.view != nullptr && entry.view->consecutiveFailures > 0 && entry.view->suspectUntil <= now;
+    const bool isOverdue = entry.view != nullptr && entry.view->isOverdue(now);
     this->overdueWorkers += isOverdue ? 1 : 0;
-    this->overdueWorkers -= std::exchange(room.isOverdue, isOverdue) ? 1 : 0;
+    this->overdueWorkers -= std::exchange(entry.isOverdue, isOverdue) ? 1 : 0;
     if (worker.superseded.empty()) {
         this->withSuperseded.erase(number);
     } else {
         this->withSuperseded.insert(number);
     }
-    this->setUsable(room, this->isUsable(now, room));
-    const Timestamp change = room.view == nullptr ? absl::InfiniteFuture() : room.view->nextTimedChange(now);
+    this->setUsable(entry, this->isUsable(now, entry));
+    const Timestamp change = entry.view == nullptr ? absl::InfiniteFuture() : entry.view->nextTimedChange(now);
     if (change < absl::InfiniteFuture()) {
         this->refreshTimers.schedule(number, change);
     }
 }
 
-bool CapacityIndex::isUsable(Timestamp now, const WorkerCapacity &room) const
+bool CapacityIndex::isUsable(Timestamp now, const WorkerCapacity &entry) const
 {
-    return room.view != nullptr && room.view->isReachable() && !room.record->registration.isDraining && room.view->startsBlockedUntil <= now
-           && !(this->excludesOverdue && room.isOverdue) && !this->state.isEvacuated(*room.record);
+    return entry.view != nullptr && entry.view->isReachable() && !entry.record->registration.isDraining && entry.view->startsBlockedUntil <= now
+           && !(this->excludesOverdue && entry.isOverdue) && !this->state.isEvacuated(*entry.record);
 }
 
-void CapacityIndex::setUsable(WorkerCapacity &room, bool isUsable)
+void CapacityIndex::setUsable(WorkerCapacity &entry, bool isUsable)
 {
-    if (room.isUsable != isUsable) {
-        this->usableWorkers[room.dataCentre] += isUsable ? 1U : -1U;
-        room.isUsable = isUsable;
+    if (entry.isUsable != isUsable) {
+        this->usableWorkers[entry.dataCentre] += isUsable ? 1U : -1U;
+        entry.isUsable = isUsable;
     }
 }
 
@@ -240,9 +240,9 @@
         return;
     }
     this->excludesOverdue = isMinority;
-    for (WorkerCapacity &room : this->entries) {
-        if (room.isOverdue) {
-            this->setUsable(room, this->isUsable(now, room));
+    for (WorkerCapacity &entry : this->entries) {
+        if (entry.isOverdue) {
+            this->setUsable(entry, this->isUsable(now, entry));
         }
     }
 }
@@ -269,10 +269,10 @@
     return this->readCount;
 }
 
-void CapacityIndex::markModified(WorkerCapacity &room)
+void CapacityIndex::markModified(WorkerCapacity &entry)
 {
-    if (!std::exchange(room.isModified, true)) {
-        this->modified.push_back(static_cast<std::uint32_t>(&room - this->entries.data()));
+    if (!std::exchange(entry.isModified, true)) {
+        this->modified.push_back(static_cast<std::uint32_t>(&entry - this->entries.data()));
     }
 }
 
@@ -289,8 +289,8 @@
     if (std::any_of(this->shortages.begin(), this->shortages.end(), covers)) {
         return false;
     }
-    const auto fits = [&](const WorkerCapacity &room) {
-        return room.isUsable && room.service == number && !room.isSpare && room.fits(step) && isAcceptable(room);
+    const auto fits = [&](const WorkerCapacity &entry) {
+        return entry.isUsable && entry.service == number && !entry.isSpare && entry.fits(step) && isAcceptable(entry);
     };
     if (this->lastFitting < this->entries.size() && fits(this->entries[this->lastFitting])) {
         return true;
@@ -300,9 +300,9 @@
         this->lastFitting = static_cast<std::uint32_t>(found - this->entries.begin());
         return true;
     }
-    const Shortage made{number, step.isFilling, *step.demand};
-    std::erase_if(this->shortages, [&made](const Shortage &larger) { return made.covers(larger.service, larger.isFilling, larger.demand); });
-    this->shortages.push_back(made);
+    const Shortage shortage{number, step.isFilling, *step.demand};
+    std::erase_if(this->shortages, [&shortage](const Shortage &larger) { return shortage.covers(larger.service, larger.isFilling, larger.demand); });
+    this->shortages.push_back(shortage);
     return false;
 }
 
@@ -312,24 +312,24 @@
         return;
     }
     for (const auto &[key, track] : tracks) {
-        WorkerCapacity *room = track.phase == execution::RunPhase::Stopping ? this->find(track.worker) : nullptr;
-        if (room != nullptr && room->record->runs.contains(key)) {
+        WorkerCapacity *entry = track.phase == execution::RunPhase::Stopping ? this->find(track.worker) : nullptr;
+        if (entry != nullptr && entry->record->runs.contains(key)) {
             const work::StepSpecT &step = this->state.findJob(key.job)->stepSpec(key.step);
-            this->markModified(*room);
-            room->releasingProcessors += step.isFilling ? 0 : step.demand->milliProcessors();
+            this->markModified(*entry);
+            entry->releasingProcessors += step.isFilling ? 0 : step.demand->milliProcessors();
         }
     }
 }
 
-void CapacityIndex::beginStep(Timestamp now, const PendingStep &wanted)
+void CapacityIndex::beginStep(Timestamp now, const PendingStep &pending)
 {
     this->clearStep();
-    this->countTasks(wanted);
-    if (wanted.job->queue().advice) {
-        this->adviceCache.visitStatuses(now, wanted.key, [this](std::uint32_t adviceNumber, AdviceStatus standing) {
-            if (WorkerCapacity *room = this->findByAdviceNumber(adviceNumber)) {
-                room->adviceStatus = standing;
-                this->advisedForStep.push_back(static_cast<std::uint32_t>(room - this->entries.data()));
+    this->countTasks(pending);
+    if (pending.job->queue().advice) {
+        this->adviceCache.visitStatuses(now, pending.key, [this](std::uint32_t adviceNumber, AdviceStatus standing) {
+            if (WorkerCapacity *entry = this->findByAdviceNumber(adviceNumber)) {
+                entry->adviceStatus = standing;
+                this->advisedForStep.push_back(static_cast<std::uint32_t>(entry - this->entries.data()));
             }
         });
         std::sort(this->advisedForStep.begin(), this->advisedForStep.end());
@@ -349,27 +349,27 @@
     this->advisedForStep.clear();
 }
 
-void CapacityIndex::countTasks(const PendingStep &wanted)
+void CapacityIndex::countTasks(const PendingStep &pending)
 {
-    if (wanted.progress->runningTasks > 0) {
-        for (const workload::Task &task : wanted.progress->tasks) {
-            WorkerCapacity *room = task.hasRun() ? this->find(task.worker) : nullptr;
-            if (room != nullptr) {
-                this->countTask(*room, 1);
+    if (pending.progress->runningTasks > 0) {
+        for (const workload::Task &task : pending.progress->tasks) {
+            WorkerCapacity *entry = task.hasRun() ? this->find(task.worker) : nullptr;
+            if (entry != nullptr) {
+                this->countTask(*entry, 1);
             }
         }
     }
-    if (!wanted.step->mayRunCopies || wanted.step->mostPerWorker == 0) {
+    if (!pending.step->mayRunCopies || pending.step->mostPerWorker == 0) {
         return;
     }
-    // Superseded runs may still be on their workers, and count towards the step's bound there.
-    const workload::TaskKey first(wanted.key.job, wanted.key.occurrence, wanted.key.step, 0);
+    // Superseded runs may still execute on their workers and count towards the step's limit per worker.
+    const workload::TaskKey first(pending.key.job, pending.key.occurrence, pending.key.step, 0);
     for (const std::uint32_t number : this->withSuperseded) {
         if (!this->entries[number].isUsable) {
             continue;
         }
         const auto &superseded = this->entries[number].record->superseded;
-        for (auto run = superseded.lower_bound(first); run != superseded.end() && run->first.stepKey() == wanted.key; ++run) {
+        for (auto run = superseded.lower_bound(first); run != superseded.end() && run->first.stepKey() == pending.key; ++run) {
             this->countTask(this->entries[number], 1);
         }
     }
@@ -395,8 +395,8 @@
 
 std::uint32_t CapacityIndex::dataCentreOfRack(std::string_view rack) const
 {
-    const auto found = rack.empty() ? this->entries.end() : std::find_if(this->entries.begin(), this->entries.end(), [rack](const WorkerCapacity &room) {
-        return room.isUsable && room.rack() == rack;
+    const auto found = rack.empty() ? this->entries.end() : std::find_if(this->entries.begin(), this->entries.end(), [rack](const WorkerCapacity &entry) {
+        return entry.isUsable && entry.rack() == rack;
     });
     return found == this->entries.end() ? noDataCentre : found->dataCentre;
 }
@@ -411,14 +411,14 @@
     return dataCentre != noDataCentre && std::size_t{this->usableWorkers[dataCentre]} * 2 >= this->byDataCentre[dataCentre].size();
 }
 
-std::vector<std::int64_t> CapacityIndex::slotsFor(const PendingStep &wanted) const
+std::vector<std::int64_t> CapacityIndex::slotsFor(const PendingStep &pending) const
 {
-    const std::uint32_t service = this->serviceNumber(wanted.job->queue().service);
+    const std::uint32_t service = this->serviceNumber(pending.job->queue().service);
     std::vector<std::int64_t> slots(this->dataCentres.size());
-    for (const WorkerCapacity &room : this->entries) {
-        if (room.fits(*wanted.step) && mayRun(room, wanted, service) && isAcceptable(room)) {
-            const std::size_t bound = wanted.step->mostPerWorker == 0 ? std::numeric_limits<std::size_t>::max() : wanted.step->mostPerWorker;
-            slots[room.dataCentre] += static_cast<std::int64_t>(std::min(room.tasksThatFit(*wanted.step), bound));
+    for (const WorkerCapacity &entry : this->entries) {
+        if (entry.fits(*pending.step) && mayRun(entry, pending, service) && isAcceptable(entry)) {
+            const std::size_t bound = pending.step->mostPerWorker == 0 ? std::numeric_limits<std::size_t>::max() : pending.step->mostPerWorker;
+            slots[entry.dataCentre] += static_cast<std::int64_t>(std::min(entry.tasksThatFit(*pending.step), bound));
         }
     }
     return slots;
@@ -442,22 +442,22 @@
 
 WorkerCapacity *CapacityIndex::findByAdviceNumber(std::uint32_t adviceNumber)
 {
-    const std::uint32_t number = adviceNumber < this->byAdviceNumber.size() ? this->byAdviceNumber[adviceNumber] : noRoom;
-    return number == noRoom || !this->entries[number].isUsable ? nullptr : &this->entries[number];
+    const std::uint32_t number = adviceNumber < this->byAdviceNumber.size() ? this->byAdviceNumber[adviceNumber] : noEntry;
+    return number == noEntry || !this->entries[number].isUsable ? nullptr : &this->entries[number];
 }
 
-void CapacityIndex::reserve(WorkerCapacity &room, const work::StepSpecT &step, std::int64_t tasks)
+void CapacityIndex::reserve(WorkerCapacity &entry, const work::StepSpecT &step, std::int64_t tasks)
 {
-    this->markModified(room);
-    room.reserve(step, tasks);
+    this->markModified(entry);
+    entry.reserve(step, tasks);
 }
 
-void CapacityIndex::countTask(WorkerCapacity &room, std::int32_t tasks)
+void CapacityIndex::countTask(WorkerCapacity &entry, std::int32_t tasks)
 {
-    this->markModified(room);
-    room.stepTasks += static_cast<std::uint32_t>(tasks);
-    if (!std::exchange(room.isCountedForStep, true)) {
-        this->countedForStep.push_back(static_cast<std::uint32_t>(&room - this->entries.data()));
+    this->markModified(entry);
+    entry.stepTasks += static_cast<std::uint32_t>(tasks);
+    if (!std::exchange(entry.isCountedForStep, true)) {
+        this->countedForStep.push_back(static_cast<std::uint32_t>(&entry - this->entries.data()));
     }
 }
 
--- a/paddlepier/planning/capacityindex.h
+++ b/paddlepier/planning/capacityindex.h
@@ -1,20 +1,19 @@
-// The workers that a plan may use, and what is left of them while it is made.
+// Index of the free capacity of each worker, as a plan uses it up.
 //
-// Workers, data centres, services and racks get numbers here, so that a plan compares no texts where it looks at every
-// worker for every step. Rooms are kept from plan to plan: collect() reads again those whose worker or view has changed, those
-// that the plan before has taken from, and those that the passing of time has changed. The others are read in turn, a few
-// each time, so that a change that nobody told of is noticed as well.
+// Workers, data centres and services are numbered here, so that a plan compares no strings when it visits every worker for every step.
+// Entries persist from plan to plan: refresh() reads again the workers whose ledger record or view changed, those that the previous plan
+// modified, and those whose state changes with time. A few of the others are read round-robin in each plan, so that a change for which
+// markViewChanged() wasn't called is detected as well.
 //
 // Example:
-//     rooms.noteView(worker);
-//     rooms.collect(now);
-//     rooms.beginStep(now, wanted);
-//     rooms.take(room, *wanted.step);
+//     capacityIndex.markViewChanged(worker);
+//     capacityIndex.refresh(now);
+//     capacityIndex.beginStep(now, pending);
+//     capacityIndex.reserve(worker, *pending.step);
 //
-// Thread safety: none; owned by the planner. Cost: collect() is O(changed workers x log workers), and O(workers log workers) after
-// a change of the configuration or a new data centre; beginStep() O(tasks of the step under way + workers that the policy service
-// has told about); hasRoomFor() O(1) as a rule, O(workers) for a size that wasn't asked for in this plan; the rest O(1) or O(data
-// centres).
+// Thread safety: none; owned by the planner. Cost: refresh() is O(changed workers x log workers), and O(workers log workers) after
+// a change of the configuration or a new data centre; beginStep() O(running tasks of the step + workers with advice for it);
+// hasCapacityFor() usually O(1), O(workers) for a size that wasn't queried before in this plan; the rest O(1) or O(data centres).
 
 #ifndef PADDLEPIER_PLANNING_CAPACITYINDEX_H
 #define PADDLEPIER_PLANNING_CAPACITYINDEX_H
@@ -43,34 +42,37 @@
 class CapacityIndex
 {
 public:
-    CapacityIndex(const workload::Workload &workloadState, const execution::WorkerViews &workerViews, AdviceCache &adviceBook);
+    CapacityIndex(const workload::Workload &workloadState, const execution::WorkerViews &workerViews, AdviceCache &cache);
 
-    /** The view of a worker has changed, or there is a new one. */
+    /** Must be called when the view of a worker has changed or is new. */
     void markViewChanged(const workload::Incarnation &worker);
-    /** Begins a plan; what the plan before has taken or noted is dropped. */
+    /** Begins a plan; reservations and marks of the previous plan are discarded. */
     void refresh(Timestamp now);
-    /** Counts what stopping runs are about to give back; once a plan. */
+    /** Adds up the capacity that stopping runs are about to release; has no effect after the first call in a plan. */
     void countReleasing(const execution::RunTracks &tracks);
 
-    /** Notes what there is of a step on each worker, and what the policy service has said. */
-    void beginStep(Timestamp now, const PendingStep &wanted);
+    /** Sets the task count and the advice status of each worker for the step. */
+    void beginStep(Timestamp now, const PendingStep &pending);
 
-    /** Those that can't be used are among them. */
+    /** All entries, including vacant ones and workers that can't be used. */
     std::vector<WorkerCapacity> &all();
-    /** Workers that can be used. */
+    /** Number of workers that can be used. */
     std::size_t usableCount() const;
-    /** How often a room was read from the ledger and its view. */
+    /** Number of times that an entry was read from the ledger and the worker's view. */
     std::uint64_t reads() const;
-    /** The plan has changed something of the room by itself: the next one reads it again. */
-    void markModified(WorkerCapacity &room);
-    /** Some worker has room for a task of the step, bounds and labels aside. What fits nowhere now won't later in the plan. */
+    /** Marks an entry that the plan modifies, so that the next plan reads it again. */
+    void markModified(WorkerCapacity &entry);
+    /**
+     * True if some worker has free capacity for a task of the step; limits per worker and labels are ignored. A negative result is cached for the
+     * rest of the plan, in which free capacity doesn't grow.
+     */
     bool hasCapacityFor(std::string_view service, const work::StepSpecT &step);
     /**
-     * Gives usable rooms to @p visit, those in the step's home first and then those in its reserve, until it returns false.
-     * Rooms of one data centre come in the order of all().
+     * Passes usable workers to @p visit until it returns false: first those in the step's preferred data centre, then those in its fallback
+     * data centre, then the rest. Workers of one data centre are visited in the order of all().
      */
     template<typename Visit>
-    void visitByPreference(const PendingStep &wanted, Visit visit)
+    void visitByPreference(const PendingStep &pending, Visit visit)
     {
         const auto visitCentre = [&](std::uint32_t dataCentre) {
             for (const std::uint32_t number : this->byDataCentre[dataCentre]) {
@@ -80,102 +82,103 @@
             }
             return true;
         };
-        for (const std::uint32_t first : {wanted.preferredDataCentre, wanted.fallbackDataCentre}) {
-            if (first != noDataCentre && !visitCentre(first)) {
+        for (const std::uint32_t chosen : {pending.preferredDataCentre, pending.fallbackDataCentre}) {
+            if (chosen != noDataCentre && !visitCentre(chosen)) {
                 return;
             }
         }
         for (std::uint32_t dataCentre = 0; dataCentre < this->byDataCentre.size(); ++dataCentre) {
-            if (dataCentre != wanted.preferredDataCentre && dataCentre != wanted.fallbackDataCentre && !visitCentre(dataCentre)) {
+            if (dataCentre != pending.preferredDataCentre && dataCentre != pending.fallbackDataCentre && !visitCentre(dataCentre)) {
                 return;
             }
         }
     }
-    /** Rooms that the policy service has told about for the step, in the order of all(). */
+    /** Numbers of the usable workers for which the policy service has given advice on the step, in the order of all(). */
     const std::vector<std::uint32_t> &advisedWorkers() const;
-    /** Null if the worker can't be used. */
+    /** Null if the worker is unknown or can't be used. */
     WorkerCapacity *find(const workload::Incarnation &worker);
-    /** By the worker's number in the advice book. */
+    /** Finds a worker by its number in the advice cache; null if it can't be used. */
     WorkerCapacity *findByAdviceNumber(std::uint32_t adviceNumber);
-    void reserve(WorkerCapacity &room, const work::StepSpecT &step, std::int64_t tasks = 1);
-    /** Counts a task of the step that is being planned; -1 takes it back. */
-    void countTask(WorkerCapacity &room, std::int32_t tasks);
-    /** Where most tasks of the step are that is being planned; noHome if it has none on a worker. */
+    void reserve(WorkerCapacity &entry, const work::StepSpecT &step, std::int64_t tasks = 1);
+    /** Adds @p tasks to the worker's task count of the step that is being planned; a negative number subtracts. */
+    void countTask(WorkerCapacity &entry, std::int32_t tasks);
+    /** Data centre with the most running tasks of the step that is being planned; noDataCentre if none runs on a usable worker. */
     std::uint32_t dataCentreOfStep() const;
-    /** noHome if no worker of that name, or rack, can be used. */
+    /** dataCentreNamed() returns noDataCentre if the name is unknown, dataCentreOfRack() if no worker of the rack can be used. */
     std::uint32_t dataCentreNamed(std::string_view name) const;
     std::uint32_t dataCentreOfRack(std::string_view rack) const;
     std::string_view dataCentreName(std::uint32_t dataCentre) const;
-    /** At least half of its workers can be used: it isn't cut off. */
+    /** True if at least half of its workers can be used, otherwise it may be cut off by a network partition. */
     bool isHealthy(std::uint32_t dataCentre) const;
-    /** Tasks of the step that fit into each data centre, whatever the policy service says; O(workers). */
-    std::vector<std::int64_t> slotsFor(const PendingStep &wanted) const;
-    /** Number of a service; one that no worker offers has none of the workers' numbers. */
+    /** Number of tasks of the step that fit into each data centre, regardless of advice; O(workers). */
+    std::vector<std::int64_t> slotsFor(const PendingStep &pending) const;
+    /** Number of a service; if no worker offers it, a number that no worker has. */
     std::uint32_t serviceNumber(std::string_view service) const;
 
 private:
-    /** A size of task for which no worker of the service has room. */
+    /** A task size for which no worker of the service has free capacity. */
     struct Shortage {
         std::uint32_t service = 0;
         bool isFilling = false;
         work::Demand demand;
 
-        /** A task of the other size fits nowhere either. */
+        /** True if a task of the other size can't fit anywhere either. */
         bool covers(std::uint32_t serviceNumber, bool fills, const work::Demand &other) const;
     };
 
     void rebuild(Timestamp now);
-    /** Reads what has changed since the last plan. @return false if all has to be read anew */
+    /** Reads what has changed since the last plan. @return false if rebuild() is required */
     bool readChanges(Timestamp now);
     void readRoundRobin(Timestamp now);
-    /** Reads one worker again, which may have come or gone. @return false if it needs a number for its data centre */
-    bool read(Timestamp now, const workload::Incarnation &life);
-    /** Reads a room whose worker is known to be there. */
+    /** Reads a worker that may have been added or removed. @return false if its data centre is new or changed, which requires rebuild() */
+    bool read(Timestamp now, const workload::Incarnation &incarnation);
+    /** Reads an entry whose worker exists. */
     void read(Timestamp now, std::uint32_t number);
-    void add(const workload::Incarnation &life, const workload::Worker &worker, std::uint32_t dataCentre);
-    void remove(const workload::Incarnation &life);
-    bool isUsable(Timestamp now, const WorkerCapacity &room) const;
-    void setUsable(WorkerCapacity &room, bool isUsable);
-    /** Late answers make workers unusable, unless most of them owe one. */
+    void add(const workload::Incarnation &incarnation, const workload::Worker &worker, std::uint32_t dataCentre);
+    void remove(const workload::Incarnation &incarnation);
+    bool isUsable(Timestamp now, const WorkerCapacity &entry) const;
+    void setUsable(WorkerCapacity &entry, bool isUsable);
+    /** Overdue answers make workers unusable, unless at least half of all workers are overdue. */
     void updateOverduePolicy(Timestamp now);
+    /** Number of the service, which is added if it is new. */
     std::uint32_t addService(const std::string &name);
-    /** Drops what was noted for the step that was planned last. */
+    /** Clears task counts and advice statuses of the step that was planned last. */
     void clearStep();
-    void countTasks(const PendingStep &wanted);
+    void countTasks(const PendingStep &pending);
 
     const workload::Workload &state;
     const execution::WorkerViews &views;
     AdviceCache &adviceCache;
-    // Invariant: holds each worker of the ledger once; a room whose worker has gone is empty until another takes its number.
+    // Invariant: holds each worker of the ledger once; the entry of a removed worker is vacant until another worker reuses its number.
     std::vector<WorkerCapacity> entries;
     std::vector<std::uint32_t> vacantEntries;
     absl::flat_hash_map<workload::Incarnation, std::uint32_t, workload::IncarnationHash> byWorker;
-    /** Numbers of rooms, in rising order. */
+    /** Numbers of the entries of each data centre, in ascending order. */
     std::vector<std::vector<std::uint32_t>> byDataCentre;
     std::vector<std::uint32_t> byAdviceNumber;
     std::vector<std::string> services;
     std::vector<bool> spareServices;
-    /** In the order of their names, so that the first of equals doesn't depend on which worker came first. */
+    /** Sorted by name, so that ties don't depend on the order in which workers joined. */
     std::vector<std::string> dataCentres;
-    /** Workers of each data centre that can be used. */
+    /** Number of usable workers in each data centre. */
     std::vector<std::uint32_t> usableWorkers;
     std::size_t overdueWorkers = 0;
     bool excludesOverdue = true;
     workload::ChangeLog<workload::Incarnation>::Position readUntil = 0;
-    /** Each once, however long no plan is made. */
+    /** A set, so that it doesn't grow beyond the number of workers while no plan is made. */
     absl::flat_hash_set<workload::Incarnation, workload::IncarnationHash> changedViews;
-    /** Rooms by the time at which time alone changes them. */
+    /** Entries by the time at which their state changes by the passing of time alone. */
     execution::TimerQueue<std::uint32_t> refreshTimers;
-    /** Rooms that a plan has changed. */
+    /** Entries that a plan has modified. */
     std::vector<std::uint32_t> modified;
-    std::size_t nextRoundRobin = 0;
+    std::size_t lastRoundRobin = 0;
     std::uint64_t readCount = 0;
-    /** Rooms with superseded runs. */
+    /** Entries of workers with superseded runs. */
     std::set<std::uint32_t> withSuperseded;
     std::vector<Shortage> shortages;
-    /** Where a task was found to fit last: the next one often does as well. */
+    /** The entry into which a task fitted last; it is checked first, since the next task often fits there as well. */
     std::uint32_t lastFitting = 0;
-    /** Rooms that hold something of the step that is being planned. */
+    /** Entries with isCountedForStep set. */
     std::vector<std::uint32_t> countedForStep;
     std::vector<std::uint32_t> advisedForStep;
     bool isReleasingCounted = false;
--- a/paddlepier/planning/capacityreserver.cpp
+++ b/paddlepier/planning/capacityreserver.cpp
@@ -1,4 +1,4 @@
-// Where a task that needs much of a worker will fit first.
+// Reserves capacity for wide tasks where it becomes free first.
 
 #include "paddlepier/planning/capacityreserver.h"
 
@@ -15,47 +15,47 @@
 namespace
 {
 
-/** A run that is past its estimate may end at any time, but isn't over. */
-constexpr Duration leastRemaining = absl::Milliseconds(100);
+/** Remaining time of a run that exceeds its estimate: it may end at any time, but hasn't ended. */
+constexpr Duration minRemaining = absl::Milliseconds(100);
 
-/** What is being stopped is listed as ended soon. */
+/** Remaining time of a run that is being stopped: the worker reports its end soon. */
 constexpr Duration stoppingRemaining = absl::Milliseconds(200);
 
-/** A task that was started this often, without failing, makes way no more: each start costs it a restore and a wait. */
-constexpr std::uint32_t mostStartsToYield = 4;
+/** A task that was started this often, not counting failures, is no longer preempted: each start costs a restore and a wait. */
+constexpr std::uint32_t maxStartsToPreempt = 4;
 
-/** What a run that makes way has to expect: the stop, a restore, and a wait for room in between; milliseconds. */
+/** Expected delay of a preempted run: the stop, the wait for capacity, and the restore. */
 constexpr double stopDelayMillis = 3000;
 
-/** Most wide steps of one plan that room is kept for, which bounds a plan's time; what comes after them takes what is left. */
-constexpr std::size_t mostKeptSteps = 40;
+/** Wide steps for which one plan reserves capacity; the limit bounds the plan's time. Later steps use what is left. */
+constexpr std::size_t maxReservedSteps = 40;
 
-/** What stopping one run is worth in waiting: it loses up to a save's interval and a restore, a part of which is used meanwhile. */
+/** Cost of one preemption, as waiting time: the run loses up to one checkpoint interval and a restore, part of which overlaps with the wait. */
 constexpr double secondsPerStop = 0.1;
 
-constexpr double wholePercent = 100;
+constexpr double fullPercent = 100;
 
-bool mayYield(const workload::Task &task, const work::StepSpecT &step, const execution::RunTrack &track)
+bool isPreemptibleRun(const workload::Task &task, const work::StepSpecT &step, const execution::RunTrack &track)
 {
-    return isCheapToPreempt(step) && track.phase == execution::RunPhase::Running && task.lastRun < mostStartsToYield + task.failures;
+    return isCheapToPreempt(step) && track.phase == execution::RunPhase::Running && task.lastRun < maxStartsToPreempt + task.failures;
 }
 
 } // namespace
 
-bool isWideFor(const WorkerCapacity &room, const work::StepSpecT &step)
+bool isWideFor(const WorkerCapacity &worker, const work::StepSpecT &step)
 {
-    const work::Demand &capacity = *room.record->registration.capacity;
+    const work::Demand &capacity = *worker.record->registration.capacity;
     return tasksThatFitInto(capacity.milliProcessors(), capacity.memoryMegabytes(), capacity.accelerators(), step) <= maxWideTasksPerWorker;
 }
 
 CapacityReserver::CapacityReserver(const workload::Workload &workloadState,
                                    const execution::RunTracks &runTracks,
-                                   const ObjectiveForecaster &jobProspects,
-                                   CapacityIndex &planRooms)
+                                   const ObjectiveForecaster &jobForecaster,
+                                   CapacityIndex &planIndex)
     : state(workloadState)
     , tracks(runTracks)
-    , forecaster(jobProspects)
-    , capacityIndex(planRooms)
+    , forecaster(jobForecaster)
+    , capacityIndex(planIndex)
 {
 }
 
@@ -76,12 +76,12 @@
     if (step.isLasting || step.estimatedMillis == 0) {
         return absl::InfiniteDuration();
     }
-    const Duration whole = absl::Milliseconds(step.estimatedMillis) * this->forecaster.typicalRatio(queue);
+    const Duration total = absl::Milliseconds(step.estimatedMillis) * this->forecaster.typicalRatio(queue);
     if (track.phase == execution::RunPhase::Starting || track.progressAt == absl::InfinitePast()) {
-        return whole;
+        return total;
     }
-    const Duration left = whole * (1.0 - track.percent / wholePercent) - (this->now - track.progressAt);
-    return std::max(left, leastRemaining);
+    const Duration left = total * (1.0 - track.percent / fullPercent) - (this->now - track.progressAt);
+    return std::max(left, minRemaining);
 }
 
 OccupyingRun CapacityReserver::occupyingRun(const workload::TaskKey &key, const workload::Job &job) const
@@ -96,34 +96,34 @@
     if (track != this->tracks.end()) {
         run.remaining = this->remainingOf(track->second, *run.step, job.queue().name);
         run.isStopping = track->second.phase == execution::RunPhase::Stopping;
-        run.isPreemptible = mayYield(job.task(key), *run.step, track->second);
+        run.isPreemptible = isPreemptibleRun(job.task(key), *run.step, track->second);
     }
     if (run.isPreemptible) {
-        const ObjectiveForecast prospect = this->forecaster.forecast(job, key.occurrence, this->wallMillis);
-        run.objectiveStatus = prospect.status;
-        run.hasLowSlackAfterStop = prospect.status == ObjectiveStatus::InTime && prospect.slackMillis < prospect.remainingMillis + stopDelayMillis;
+        const ObjectiveForecast forecast = this->forecaster.forecast(job, key.occurrence, this->wallMillis);
+        run.objectiveStatus = forecast.status;
+        run.hasLowSlackAfterStop = forecast.status == ObjectiveStatus::InTime && forecast.slackMillis < forecast.remainingMillis + stopDelayMillis;
     }
     return run;
 }
 
-std::vector<OccupyingRun> &CapacityReserver::runsOn(const WorkerCapacity &room)
+std::vector<OccupyingRun> &CapacityReserver::runsOn(const WorkerCapacity &worker)
 {
-    const auto [found, isNew] = this->runsByWorker.try_emplace(room.record);
+    const auto [found, isNew] = this->runsByWorker.try_emplace(worker.record);
     if (isNew) {
-        for (const workload::TaskKey &key : room.record->runs) {
+        for (const workload::TaskKey &key : worker.record->runs) {
             found->second.push_back(this->occupyingRun(key, *this->state.findJob(key.job)));
         }
     }
     return found->second;
 }
 
-bool CapacityReserver::isPreemptibleFor(const OccupyingRun &run, const PendingStep &wanted)
+bool CapacityReserver::isPreemptibleFor(const OccupyingRun &run, const PendingStep &pending)
 {
-    const std::uint32_t priority = wanted.job->queue().priority;
-    return run.isPreemptible && run.priority > priority && wanted.forecast.status == ObjectiveStatus::InTime && (priority == 0 || !run.hasLowSlackAfterStop);
+    const std::uint32_t priority = pending.job->queue().priority;
+    return run.isPreemptible && run.priority > priority && pending.forecast.status == ObjectiveStatus::InTime && (priority == 0 || !run.hasLowSlackAfterStop);
 }
 
-std::vector<CapacityReserver::Release> CapacityReserver::releasesFor(std::vector<OccupyingRun> &runs, const PendingStep &wanted) const
+std::vector<CapacityReserver::Release> CapacityReserver::releasesFor(std::vector<OccupyingRun> &runs, const PendingStep &pending) const
 {
     std::vector<Release> releases;
     for (OccupyingRun &run : runs) {
@@ -131,10 +131,10 @@
             releases.push_back({&run, std::min(run.remaining, typicalStopTime), false});
             continue;
         }
-        const bool isStop = run.remaining > typicalStopTime && isPreemptibleFor(run, wanted);
-        releases.push_back({&run, isStop ? typicalStopTime : run.remaining, isStop});
+        const bool isPreemption = run.remaining > typicalStopTime && isPreemptibleFor(run, pending);
+        releases.push_back({&run, isPreemption ? typicalStopTime : run.remaining, isPreemption});
     }
-    // Of what would be stopped, jobs that have least to lose go first.
+    // Among runs that would be preempted, those of jobs with the worst status and then the youngest come first: they lose the least.
     std::sort(releases.begin(), releases.end(), [](const Release &left, const Release &right) {
         const auto rank = [](const Release &release) {
             return std::tuple(release.after, release.isPreemption, -static_cast<int>(release.run->objectiveStatus), -release.run->submittedAtMillis);
@@ -144,81 +144,82 @@
     return releases;
 }
 
-FutureCapacity CapacityReserver::forecastCapacity(WorkerCapacity &room, const PendingStep &wanted)
+FutureCapacity CapacityReserver::forecastCapacity(WorkerCapacity &worker, const PendingStep &pending)
 {
-    FutureCapacity coming;
-    WorkerCapacity later = room;
+    FutureCapacity future;
+    WorkerCapacity simulated = worker;
     std::vector<Release> used;
-    for (const Release &release : this->releasesFor(this->runsOn(room), wanted)) {
-        if (later.fits(*wanted.step) || release.after == absl::InfiniteDuration()) {
+    for (const Release &release : this->releasesFor(this->runsOn(worker), pending)) {
+        if (simulated.fits(*pending.step) || release.after == absl::InfiniteDuration()) {
             break;
         }
-        later.reserve(*release.run->step, -1);
+        simulated.reserve(*release.run->step, -1);
         used.push_back(release);
     }
-    if (!later.fits(*wanted.step)) {
-        return coming;
+    if (!simulated.fits(*pending.step)) {
+        return future;
     }
-    // What was counted earlier may be needless beside what came after it; the dearest is left out first.
-    coming.worker = &room;
-    coming.wait = absl::ZeroDuration();
+    // A release that was added early may be unneeded together with later ones. Each is removed again if the task fits without it, beginning
+    // with the one that takes longest.
+    future.worker = &worker;
+    future.wait = absl::ZeroDuration();
     std::reverse(used.begin(), used.end());
     for (const Release &release : used) {
-        later.reserve(*release.run->step, 1);
-        if (later.fits(*wanted.step)) {
+        simulated.reserve(*release.run->step, 1);
+        if (simulated.fits(*pending.step)) {
             continue;
         }
-        later.reserve(*release.run->step, -1);
-        coming.wait = std::max(coming.wait, release.after);
+        simulated.reserve(*release.run->step, -1);
+        future.wait = std::max(future.wait, release.after);
         if (release.isPreemption) {
-            coming.runsToStop.push_back(release.run);
+            future.runsToStop.push_back(release.run);
         }
     }
-    return coming;
+    return future;
 }
 
 bool CapacityReserver::isWide(std::string_view service, const work::StepSpecT &step)
 {
     const std::uint32_t number = this->capacityIndex.serviceNumber(service);
     const std::vector<WorkerCapacity> &all = this->capacityIndex.all();
-    const auto takesSeveral = [&](const WorkerCapacity &room) { return room.isUsable && room.service == number && !isWideFor(room, step); };
-    if (this->lastLargeWorker < all.size() && takesSeveral(all[this->lastLargeWorker])) {
+    const auto isLarge = [&](const WorkerCapacity &worker) { return worker.isUsable && worker.service == number && !isWideFor(worker, step); };
+    if (this->lastLargeWorker < all.size() && isLarge(all[this->lastLargeWorker])) {
         return false;
     }
     const work::Demand &demand = *step.demand;
     const auto [size, isNew] = this->wideBySize.try_emplace({number, demand.milliProcessors(), demand.memoryMegabytes(), demand.accelerators()},
                                                             this->capacityIndex.usableCount() > 0);
     if (isNew && size->second) {
-        const auto large = std::find_if(all.begin(), all.end(), takesSeveral);
-        size->second = large == all.end();
-        this->lastLargeWorker = large == all.end() ? this->lastLargeWorker : static_cast<std::uint32_t>(large - all.begin());
+        const auto found = std::find_if(all.begin(), all.end(), isLarge);
+        size->second = found == all.end();
+        this->lastLargeWorker = found == all.end() ? this->lastLargeWorker : static_cast<std::uint32_t>(found - all.begin());
     }
     return size->second;
 }
 
-CapacityReserver::Option CapacityReserver::optionFor(WorkerCapacity &room, const PendingStep &wanted)
+CapacityReserver::Option CapacityReserver::optionFor(WorkerCapacity &worker, const PendingStep &pending)
 {
     ++this->forecasts;
-    Option option{&room, this->forecastCapacity(room, wanted), std::numeric_limits<double>::infinity()};
+    Option option{&worker, this->forecastCapacity(worker, pending), std::numeric_limits<double>::infinity()};
     if (option.futureCapacity.worker != nullptr) {
-        const double slowSeconds = wanted.step->estimatedMillis / 1000.0 * std::max(0.0, room.view->slowness - 1.0);
+        const double slowSeconds = pending.step->estimatedMillis / 1000.0 * std::max(0.0, worker.view->slowness - 1.0);
         option.cost =
             absl::ToDoubleSeconds(option.futureCapacity.wait) + slowSeconds + secondsPerStop * static_cast<double>(option.futureCapacity.runsToStop.size());
     }
     return option;
 }
 
-std::vector<CapacityReserver::Option> CapacityReserver::optionsFor(const PendingStep &wanted)
+std::vector<CapacityReserver::Option> CapacityReserver::optionsFor(const PendingStep &pending)
 {
-    const std::uint32_t service = this->capacityIndex.serviceNumber(wanted.job->queue().service);
+    const std::uint32_t service = this->capacityIndex.serviceNumber(pending.job->queue().service);
     std::vector<Option> options;
-    const auto consider = [&](WorkerCapacity &room) {
-        if (mayRun(room, wanted, service) && isAcceptable(room) && isBelowPerWorkerLimit(room, wanted)) {
-            options.push_back(this->optionFor(room, wanted));
+    const auto consider = [&](WorkerCapacity &worker) {
+        if (mayRun(worker, pending, service) && isAcceptable(worker) && isBelowPerWorkerLimit(worker, pending)) {
+            options.push_back(this->optionFor(worker, pending));
         }
     };
     std::vector<WorkerCapacity> &all = this->capacityIndex.all();
-    if (wanted.job->queue().advice == nullptr) {
+    if (pending.job->queue().advice == nullptr) {
         std::for_each(all.begin(), all.end(), consider);
         return options;
     }
@@ -230,14 +231,14 @@
     return options;
 }
 
-CapacityReserver::Option *CapacityReserver::soonest(std::vector<Option> &options, const PendingStep &wanted, std::uint32_t index)
+CapacityReserver::Option *CapacityReserver::soonest(std::vector<Option> &options, const PendingStep &pending, std::uint32_t index)
 {
-    const workload::Task &task = wanted.progress->tasks[index];
+    const workload::Task &task = pending.progress->tasks[index];
     Option *best = nullptr;
-    double least = std::numeric_limits<double>::infinity();
+    double lowest = std::numeric_limits<double>::infinity();
     for (Option &option : options) {
-        if (option.cost < least && isTrustedFor(*option.worker, task) && isBelowPerWorkerLimit(*option.worker, wanted)) {
-            least = option.cost;
+        if (option.cost < lowest && isTrustedFor(*option.worker, task) && isBelowPerWorkerLimit(*option.worker, pending)) {
+            lowest = option.cost;
             best = &option;
         }
     }
@@ -249,33 +250,33 @@
     return this->forecasts;
 }
 
-std::vector<FutureCapacity> CapacityReserver::reserveFor(const PendingStep &wanted)
+std::vector<FutureCapacity> CapacityReserver::reserveFor(const PendingStep &pending)
 {
-    if (wanted.step->isFilling || this->reservedSteps >= mostKeptSteps || !this->isWide(wanted.job->queue().service, *wanted.step)) {
+    if (pending.step->isFilling || this->reservedSteps >= maxReservedSteps || !this->isWide(pending.job->queue().service, *pending.step)) {
         return {};
     }
     ++this->reservedSteps;
-    // What is kept for one task changes its own worker alone: the others needn't be judged again for the next.
-    std::vector<Option> options = this->optionsFor(wanted);
-    std::vector<FutureCapacity> kept;
-    for (const std::uint32_t index : wanted.tasks) {
-        Option *option = soonest(options, wanted, index);
+    // A reservation changes only its own worker, so that only that worker is evaluated again for the next task.
+    std::vector<Option> options = this->optionsFor(pending);
+    std::vector<FutureCapacity> reserved;
+    for (const std::uint32_t index : pending.tasks) {
+        Option *option = soonest(options, pending, index);
         if (option == nullptr) {
             break;
         }
-        this->capacityIndex.reserve(*option->worker, *wanted.step);
+        this->capacityIndex.reserve(*option->worker, *pending.step);
         this->capacityIndex.countTask(*option->worker, 1);
-        kept.push_back(std::move(option->futureCapacity));
-        *option = this->optionFor(*option->worker, wanted);
+        reserved.push_back(std::move(option->futureCapacity));
+        *option = this->optionFor(*option->worker, pending);
     }
-    if (wanted.step->isGang && kept.size() < wanted.tasks.size()) {
-        for (const FutureCapacity &coming : kept) {
-            this->capacityIndex.reserve(*coming.worker, *wanted.step, -1);
-            this->capacityIndex.countTask(*coming.worker, -1);
+    if (pending.step->isGang && reserved.size() < pending.tasks.size()) {
+        for (const FutureCapacity &future : reserved) {
+            this->capacityIndex.reserve(*future.worker, *pending.step, -1);
+            this->capacityIndex.countTask(*future.worker, -1);
         }
-        kept.clear();
+        reserved.clear();
     }
-    return kept;
+    return reserved;
 }
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/capacityreserver.h
+++ b/paddlepier/planning/capacityreserver.h
@@ -1,20 +1,20 @@
-// Where a task that needs much of a worker will fit first, and which runs have to end there before.
+// Reserves capacity for wide tasks where it becomes free first, and determines which runs have to stop for it.
 //
-// Small tasks take whatever gets free, so that a worker is hardly ever free as a whole and a task that needs most of one
-// waits for ever behind tasks that matter less and came later. For such wide tasks the planner therefore looks ahead: at
-// each worker that may run the task, when enough of its runs will have ended, by themselves or because they make way.
+// Small tasks use any capacity as soon as it is released, so that a worker is rarely idle, and a task that needs most of one would starve
+// behind less important, later tasks. For such wide tasks the planner forecasts for each eligible worker when enough of its runs
+// will have ended, by themselves or by preemption.
 //
-// A run makes way only for a queue that goes before its own, and only if little is lost: it saves its progress, is no
-// member of a gang and hasn't been started many times already. Unless the work that needs its room is urgent (priority 0),
-// its job must still meet its objective easily after that: at some 110 % load tasks that may be late would otherwise make
-// others late in their place (small jobs in time: 43 % instead of 97 %, replay of 60 s at 140 % of a steady 80 %).
+// A run is preempted only for a step of a more urgent queue, and only if little work is lost: it saves checkpoints, isn't a member of a gang
+// and hasn't been started many times already. Unless the pending step is urgent (priority 0), the job of the run must also keep enough
+// slack to meet its objective after the stop: at some 110 % load, tasks that may be late would otherwise make others late
+// (small jobs in time: 43 % instead of 97 %, replay of 60 s at 140 % of a steady 80 %).
 //
 // Example:
-//     keeper.begin(now, wallMillis);
-//     for (const ComingRoom &coming : keeper.keepFor(wanted)) { ... coming.stops ... }
+//     reserver.begin(now, wallMillis);
+//     for (const FutureCapacity &future : reserver.reserveFor(pending)) { ... future.runsToStop ... }
 //
-// Thread safety: none; owned by the planner. Cost: keepFor() is O((permitted workers + tasks) x runs on each x log of it +
-// tasks x permitted workers), and once a plan O(runs x log of all runs) for each worker that is looked at.
+// Thread safety: none; owned by the planner. Cost: reserveFor() is O((permitted workers + tasks) x runs on each x log of it +
+// tasks x permitted workers), and once a plan O(runs x log of all runs) for each worker that is evaluated.
 
 #ifndef PADDLEPIER_PLANNING_CAPACITYRESERVER_H
 #define PADDLEPIER_PLANNING_CAPACITYRESERVER_H
@@ -36,87 +36,90 @@
 namespace paddlepier::planning
 {
 
-/** A run as those see it who wait for its room. */
+/** A run that occupies capacity for which a wide step waits. */
 struct OccupyingRun {
     workload::TaskKey key;
     const work::StepSpecT *step = nullptr;
     std::uint32_t priority = 0;
     ObjectiveStatus objectiveStatus = ObjectiveStatus::InTime;
     std::int64_t submittedAtMillis = 0;
-    /** Until it ends by itself, as far as its estimate and its progress tell. */
+    /** Time until it ends by itself, computed from its estimate and its progress. */
     Duration remaining;
-    /** It may be stopped for the sake of others. */
+    /** It may be preempted. */
     bool isPreemptible = false;
-    /** After a stop its job would have little time left to its objective: only urgent work may do that. */
+    /** After a stop its job would have low slack; only urgent work may stop it then. */
     bool hasLowSlackAfterStop = false;
-    /** A stop is on its way, or this plan orders one. */
+    /** It is being stopped already, or this plan stops it. */
     bool isStopping = false;
 };
 
-/** How a worker comes to have room for one more task. */
+/** When and how a worker gets free capacity for one more task. */
 struct FutureCapacity {
-    /** Null if the worker never has. */
+    /** Null if the worker never gets it. */
     WorkerCapacity *worker = nullptr;
     Duration wait = absl::InfiniteDuration();
-    /** Runs that have to make way for it; valid until the next plan begins. */
+    /** Runs that have to be preempted for it; valid until the next plan begins. */
     std::vector<OccupyingRun *> runsToStop;
 };
 
-/** Time from the order to stop a run until its room is free, in an ordinary case: the order, the save, the listed end. */
+/** Typical time from the order to stop a run until its capacity is free: delivery of the order, checkpoint, report of the end. */
 constexpr Duration typicalStopTime = absl::Milliseconds(350);
 
-/** Room is made, and tickets renewed, only if it is whole this soon: sooner than a ticket ends, and before much of it has lain idle. */
+/**
+ * Runs are preempted and tickets renewed only for capacity that is complete within this time: before a ticket expires, and before the part
+ * that is already reserved has been idle for long.
+ */
 constexpr Duration maxReservationWait = absl::Milliseconds(800);
 
-/** At most this many tasks of a wide step fit into a worker that runs nothing else. */
+/** A step is wide if at most this many of its tasks fit into a worker that runs nothing else. */
 constexpr std::size_t maxWideTasksPerWorker = 2;
 
-/** True if a worker like @p room could run a few tasks of @p step at the most, or none. */
-bool isWideFor(const WorkerCapacity &room, const work::StepSpecT &step);
+/** True if a worker of the size of @p worker could run at most maxWideTasksPerWorker tasks of @p step. */
+bool isWideFor(const WorkerCapacity &worker, const work::StepSpecT &step);
 
 class CapacityReserver
 {
 public:
     CapacityReserver(const workload::Workload &workloadState,
                      const execution::RunTracks &runTracks,
-                     const ObjectiveForecaster &jobProspects,
-                     CapacityIndex &planRooms);
+                     const ObjectiveForecaster &jobForecaster,
+                     CapacityIndex &planIndex);
 
-    /** Begins a plan: what was known of the runs is dropped. */
+    /** Begins a plan and discards what was cached about runs. */
     void begin(Timestamp at, std::int64_t wall);
-    /** No more than a few of the step's tasks fit into any worker of @p service; O(1) as a rule, else O(workers) once a plan. */
+    /** True if isWideFor() holds for each usable worker of @p service; usually O(1), else O(workers) once a plan for each size. */
     bool isWide(std::string_view service, const work::StepSpecT &step);
-    /** Keeps the room that comes soonest for the tasks of a wide step; none for a gang that can't have room as a whole. */
-    std::vector<FutureCapacity> reserveFor(const PendingStep &wanted);
-    /** How often it was judged when a worker comes to have room for a step. */
+    /** Reserves the capacity that becomes free first for the tasks of a wide step; none for a gang unless all its members get it. */
+    std::vector<FutureCapacity> reserveFor(const PendingStep &pending);
+    /** Number of forecasts made so far. */
     std::uint64_t forecastCount() const;
 
 private:
-    /** A run of the room in the order in which it gives its room back. */
+    /** The release of one run's capacity, by its end or its preemption. */
     struct Release {
         OccupyingRun *run;
         Duration after;
         bool isPreemption;
     };
 
-    /** A worker that a wide step may wait for, and what that costs; infinite if it never has room. */
+    /** A worker for which a wide step may wait, and the cost of doing so; infinite if it never gets the capacity. */
     struct Option {
         WorkerCapacity *worker;
         FutureCapacity futureCapacity;
         double cost;
     };
 
-    Option optionFor(WorkerCapacity &room, const PendingStep &wanted);
-    std::vector<Option> optionsFor(const PendingStep &wanted);
-    /** The cheapest for the task; null if there is none. */
-    static Option *soonest(std::vector<Option> &options, const PendingStep &wanted, std::uint32_t index);
-    /** When @p room fits one more task of @p wanted, and what makes way for it. */
-    FutureCapacity forecastCapacity(WorkerCapacity &room, const PendingStep &wanted);
-    std::vector<OccupyingRun> &runsOn(const WorkerCapacity &room);
+    Option optionFor(WorkerCapacity &worker, const PendingStep &pending);
+    std::vector<Option> optionsFor(const PendingStep &pending);
+    /** The cheapest option for the task; null if none is eligible. */
+    static Option *soonest(std::vector<Option> &options, const PendingStep &pending, std::uint32_t index);
+    /** Forecasts when @p worker has capacity for one more task of @p pending, and which runs have to be preempted for it. */
+    FutureCapacity forecastCapacity(WorkerCapacity &worker, const PendingStep &pending);
+    std::vector<OccupyingRun> &runsOn(const WorkerCapacity &worker);
     OccupyingRun occupyingRun(const workload::TaskKey &key, const workload::Job &job) const;
     Duration remainingOf(const execution::RunTrack &track, const work::StepSpecT &step, const std::string &queue) const;
-    static bool isPreemptibleFor(const OccupyingRun &run, const PendingStep &wanted);
-    std::vector<Release> releasesFor(std::vector<OccupyingRun> &runs, const PendingStep &wanted) const;
+    static bool isPreemptibleFor(const OccupyingRun &run, const PendingStep &pending);
+    std::vector<Release> releasesFor(std::vector<OccupyingRun> &runs, const PendingStep &pending) const;
 
     const workload::Workload &state;
     const execution::RunTracks &tracks;
@@ -125,12 +128,12 @@
     Timestamp now;
     std::int64_t wallMillis = 0;
     std::map<const workload::Worker *, std::vector<OccupyingRun>> runsByWorker;
-    /** A worker into which more than a few tasks of the step that was judged last fit; most steps are judged by it alone. */
+    /** A worker on which the last evaluated step wasn't wide; checked first, since it decides for most steps. */
     std::uint32_t lastLargeWorker = 0;
-    /** Sizes of tasks, by service, that weren't judged by that one, and whether they are wide; of this plan. */
+    /** For task sizes by service that lastLargeWorker didn't decide in this plan: whether they are wide. */
     std::map<std::tuple<std::uint32_t, std::uint32_t, std::uint32_t, std::uint32_t>, bool> wideBySize;
     std::uint64_t forecasts = 0;
-    /** Wide steps of this plan for which room was kept. */
+    /** Wide steps for which this plan has reserved capacity. */
     std::size_t reservedSteps = 0;
 };
 
--- a/paddlepier/planning/datacentreselector.cpp
+++ b/paddlepier/planning/datacentreselector.cpp
@@ -1,4 +1,4 @@
-// In which data centre the tasks of a step are kept together.
+// Selects the data centre in which the tasks of a step are kept together.
 
 #include "paddlepier/planning/datacentreselector.h"
 
@@ -10,19 +10,19 @@
 namespace
 {
 
-/** Name of a data centre; empty for none. */
-std::string nameOf(const CapacityIndex &rooms, std::uint32_t dataCentre)
+/** Name of a data centre; empty for noDataCentre. */
+std::string nameOrEmpty(const CapacityIndex &capacityIndex, std::uint32_t dataCentre)
 {
-    return dataCentre == noDataCentre ? std::string() : std::string(rooms.dataCentreName(dataCentre));
+    return dataCentre == noDataCentre ? std::string() : std::string(capacityIndex.dataCentreName(dataCentre));
 }
 
-/** The sound data centre with the most of @p slots besides @p except. */
-std::uint32_t roomiest(const CapacityIndex &rooms, const std::vector<std::int64_t> &slots, std::uint32_t except)
+/** The healthy data centre with the most @p slots, other than @p except. */
+std::uint32_t withMostSlots(const CapacityIndex &capacityIndex, const std::vector<std::int64_t> &slots, std::uint32_t except)
 {
     std::uint32_t best = noDataCentre;
     for (std::uint32_t dataCentre = 0; dataCentre < slots.size(); ++dataCentre) {
-        const bool isOpen = dataCentre != except && rooms.isHealthy(dataCentre);
-        if (isOpen && (best == noDataCentre || slots[dataCentre] > slots[best])) {
+        const bool isCandidate = dataCentre != except && capacityIndex.isHealthy(dataCentre);
+        if (isCandidate && (best == noDataCentre || slots[dataCentre] > slots[best])) {
             best = dataCentre;
         }
     }
@@ -31,56 +31,56 @@
 
 } // namespace
 
-DataCentreChoice DataCentreSelector::select(const PendingStep &wanted, const CapacityIndex &rooms, double permittedShare)
+DataCentreChoice DataCentreSelector::select(const PendingStep &pending, const CapacityIndex &capacityIndex, double permittedShare)
 {
-    if (!wanted.prefersOneDataCentre()) {
+    if (!pending.prefersOneDataCentre()) {
         return {};
     }
-    const std::uint32_t inUse = rooms.dataCentreOfStep();
-    const auto known = this->chosen.find(wanted.key);
-    if (known != this->chosen.end()) {
-        const DataCentreChoice home{rooms.dataCentreNamed(known->second.preferred), rooms.dataCentreNamed(known->second.fallback)};
-        const bool isInUse = inUse == noDataCentre || inUse == home.preferred;
-        if (isInUse && rooms.isHealthy(home.preferred)) {
-            return home;
+    const std::uint32_t inUse = capacityIndex.dataCentreOfStep();
+    const auto existing = this->chosen.find(pending.key);
+    if (existing != this->chosen.end()) {
+        const DataCentreChoice choice{capacityIndex.dataCentreNamed(existing->second.preferred), capacityIndex.dataCentreNamed(existing->second.fallback)};
+        const bool isInUse = inUse == noDataCentre || inUse == choice.preferred;
+        if (isInUse && capacityIndex.isHealthy(choice.preferred)) {
+            return choice;
         }
     }
-    NamedChoice choice = choose(wanted, rooms, permittedShare);
-    if (rooms.isHealthy(inUse)) {
-        // What it has elsewhere draws the rest there.
-        choice.fallback = choice.preferred == nameOf(rooms, inUse) ? choice.fallback : choice.preferred;
-        choice.preferred = nameOf(rooms, inUse);
+    NamedChoice choice = choose(pending, capacityIndex, permittedShare);
+    if (capacityIndex.isHealthy(inUse)) {
+        // The data centre in which most of its tasks run becomes the preferred one.
+        choice.fallback = choice.preferred == nameOrEmpty(capacityIndex, inUse) ? choice.fallback : choice.preferred;
+        choice.preferred = nameOrEmpty(capacityIndex, inUse);
     }
-    const NamedChoice &kept = this->chosen[wanted.key] = std::move(choice);
-    return {rooms.dataCentreNamed(kept.preferred), rooms.dataCentreNamed(kept.fallback)};
+    const NamedChoice &stored = this->chosen[pending.key] = std::move(choice);
+    return {capacityIndex.dataCentreNamed(stored.preferred), capacityIndex.dataCentreNamed(stored.fallback)};
 }
 
-std::vector<std::string_view> DataCentreSelector::preferredNames(const PendingStep &wanted, const CapacityIndex &rooms)
+std::vector<std::string_view> DataCentreSelector::preferredNames(const PendingStep &pending, const CapacityIndex &capacityIndex)
 {
     std::vector<std::string_view> names;
-    const std::uint32_t ofData = rooms.dataCentreOfRack(wanted.step->dataRack);
-    if (ofData != noDataCentre) {
-        names.push_back(rooms.dataCentreName(ofData));
+    const std::uint32_t dataCentreOfData = capacityIndex.dataCentreOfRack(pending.step->dataRack);
+    if (dataCentreOfData != noDataCentre) {
+        names.push_back(capacityIndex.dataCentreName(dataCentreOfData));
     }
-    if (wanted.job->queue().priority == 0 && !wanted.job->spec().callersDataCentre.empty()) {
-        names.push_back(wanted.job->spec().callersDataCentre);
+    if (pending.job->queue().priority == 0 && !pending.job->spec().callersDataCentre.empty()) {
+        names.push_back(pending.job->spec().callersDataCentre);
     }
     return names;
 }
 
-DataCentreSelector::NamedChoice DataCentreSelector::choose(const PendingStep &wanted, const CapacityIndex &rooms, double permittedShare)
+DataCentreSelector::NamedChoice DataCentreSelector::choose(const PendingStep &pending, const CapacityIndex &capacityIndex, double permittedShare)
 {
-    const std::vector<std::int64_t> slots = rooms.slotsFor(wanted);
-    std::uint32_t first = noDataCentre;
-    for (const std::string_view name : preferredNames(wanted, rooms)) {
-        const std::uint32_t dataCentre = rooms.dataCentreNamed(name);
-        const bool isSound = rooms.isHealthy(dataCentre);
-        if (first == noDataCentre && isSound && static_cast<double>(slots[dataCentre]) * permittedShare >= static_cast<double>(wanted.tasks.size())) {
-            first = dataCentre;
+    const std::vector<std::int64_t> slots = capacityIndex.slotsFor(pending);
+    std::uint32_t preferred = noDataCentre;
+    for (const std::string_view name : preferredNames(pending, capacityIndex)) {
+        const std::uint32_t dataCentre = capacityIndex.dataCentreNamed(name);
+        const bool isHealthy = capacityIndex.isHealthy(dataCentre);
+        if (preferred == noDataCentre && isHealthy && static_cast<double>(slots[dataCentre]) * permittedShare >= static_cast<double>(pending.tasks.size())) {
+            preferred = dataCentre;
         }
     }
-    first = first == noDataCentre ? roomiest(rooms, slots, noDataCentre) : first;
-    return {nameOf(rooms, first), nameOf(rooms, roomiest(rooms, slots, first))};
+    preferred = preferred == noDataCentre ? withMostSlots(capacityIndex, slots, noDataCentre) : preferred;
+    return {nameOrEmpty(capacityIndex, preferred), nameOrEmpty(capacityIndex, withMostSlots(capacityIndex, slots, preferred))};
 }
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/datacentreselector.h
+++ b/paddlepier/planning/datacentreselector.h
@@ -1,18 +1,18 @@
-// In which data centre the tasks of a step are kept together.
+// Selects the data centre in which the tasks of a step are kept together.
 //
-// A job is as late as its unluckiest task, and a data centre that is cut off takes everything on it along. A step that lies in
-// one data centre of five is hit by a fifth of the cuts; one that lies in all of them by each. The data centre is therefore
-// chosen once, before the policy service is asked, and kept while answers come and rooms change: chosen anew in each plan, two
-// of five steps of 13 tasks lay in several at 1,100 workers.
+// A job ends with its last task, and a network partition of a data centre affects everything on it. A step placed in one of five
+// data centres is hit by a fifth of the partitions, a step spread over all of them by each. The data centre is therefore
+// selected once, before advice is requested, and kept while answers arrive and capacity changes: selected again in each plan, two
+// of five steps of 13 tasks were spread over several data centres at 1,100 workers.
 //
-// Urgent work goes to the data centre of the callers who wait for it: when that is cut off they can't be told of an end
-// anywhere else either, so that one cut doesn't hit two groups of callers. Other work goes where most of its tasks fit, which
-// keeps the data centres evenly full. Where a step doesn't fit into its home as a whole, the rest goes to one reserve.
+// Urgent work goes to the data centre of the callers that wait for it: if that is partitioned, results from any other data centre
+// can't reach them either, so that one partition doesn't affect two groups of callers. Other work goes where most of its tasks fit, which
+// keeps the data centres evenly used. If a step doesn't fit into its preferred data centre completely, the rest goes to one fallback.
 //
 // Example:
-//     const Home home = homes.of(wanted, rooms, permittedShare);
+//     const DataCentreChoice choice = selector.select(pending, capacityIndex, permittedShare);
 //
-// Thread safety: none; owned by the planner. Cost: of() is O(log steps), and O(workers) once for each step.
+// Thread safety: none; owned by the planner. Cost: select() is O(log steps), and O(workers) once for each step.
 
 #ifndef PADDLEPIER_PLANNING_DATACENTRESELECTOR_H
 #define PADDLEPIER_PLANNING_DATACENTRESELECTOR_H
@@ -30,36 +30,36 @@
 namespace paddlepier::planning
 {
 
-/** Numbers of data centres in the plan at hand. */
+/** Data centres by their numbers in the current plan. */
 struct DataCentreChoice {
     std::uint32_t preferred = noDataCentre;
-    /** For what doesn't fit there. */
+    /** For tasks that don't fit into the preferred one. */
     std::uint32_t fallback = noDataCentre;
 };
 
 class DataCentreSelector
 {
 public:
-    /** @param permittedShare  share of the workers that is likely to be permitted */
-    DataCentreChoice select(const PendingStep &wanted, const CapacityIndex &rooms, double permittedShare);
+    /** @param permittedShare  expected share of workers that the policy service permits */
+    DataCentreChoice select(const PendingStep &pending, const CapacityIndex &capacityIndex, double permittedShare);
 
-    /** Drops what is known of jobs that @p isOver says to have ended; O(steps). */
+    /** Removes the choices for jobs for which @p hasEnded returns true; O(steps). */
     template<typename Predicate>
-    void removeEndedJobs(Predicate isOver)
+    void removeEndedJobs(Predicate hasEnded)
     {
-        std::erase_if(this->chosen, [&isOver](const auto &entry) { return isOver(entry.first.job); });
+        std::erase_if(this->chosen, [&hasEnded](const auto &entry) { return hasEnded(entry.first.job); });
     }
 
 private:
-    /** By name, since the numbers change from plan to plan. */
+    /** Data centres by name, since the numbers may change from plan to plan. */
     struct NamedChoice {
         std::string preferred;
         std::string fallback;
     };
 
-    static NamedChoice choose(const PendingStep &wanted, const CapacityIndex &rooms, double permittedShare);
-    /** Data centres that would suit @p wanted for another reason than their room, the best first; some may not be there. */
-    static std::vector<std::string_view> preferredNames(const PendingStep &wanted, const CapacityIndex &rooms);
+    static NamedChoice choose(const PendingStep &pending, const CapacityIndex &capacityIndex, double permittedShare);
+    /** Names of data centres that suit @p pending by its data or its callers, best first; some may be unknown to the index. */
+    static std::vector<std::string_view> preferredNames(const PendingStep &pending, const CapacityIndex &capacityIndex);
 
     std::map<workload::StepKey, NamedChoice> chosen;
 };
--- a/paddlepier/planning/eligibility.cpp
+++ b/paddlepier/planning/eligibility.cpp
@@ -1,39 +1,39 @@
-// Whether a worker may get a task of a step at all.
+// Predicates that decide whether a worker may run a task of a step.
 
 #include "paddlepier/planning/eligibility.h"
 
 namespace paddlepier::planning
 {
 
-bool mayRun(const WorkerCapacity &room, const PendingStep &wanted, std::uint32_t service)
+bool mayRun(const WorkerCapacity &worker, const PendingStep &pending, std::uint32_t service)
 {
-    return room.isUsable && room.service == service && !room.isSpare
-           && (wanted.step->requiredLabel.empty() || room.record->hasLabel(wanted.step->requiredLabel));
+    return worker.isUsable && worker.service == service && !worker.isSpare
+           && (pending.step->requiredLabel.empty() || worker.record->hasLabel(pending.step->requiredLabel));
 }
 
-bool isAcceptable(const WorkerCapacity &room)
+bool isAcceptable(const WorkerCapacity &worker)
 {
-    if (room.isIsolated) {
+    if (worker.isIsolated) {
         return false;
     }
-    if (room.view->consecutiveFailures < suspectFailureThreshold) {
+    if (worker.view->consecutiveFailures < suspectFailureThreshold) {
         return true;
     }
-    // After its time out a suspicious worker shows itself by one run at a time.
-    return room.isOnProbation && room.record->runs.empty();
+    // After its suspension a suspect worker is tested with one run at a time.
+    return worker.isOnProbation && worker.record->runs.empty();
 }
 
-bool isTrustedFor(const WorkerCapacity &room, const workload::Task &task)
+bool isTrustedFor(const WorkerCapacity &worker, const workload::Task &task)
 {
-    // A task that has failed already must not use up its attempts on a worker that may be the cause. After the time out it may go there:
-    // where no other worker is permitted and nothing else runs to show this one sound, it would otherwise wait for ever.
-    const bool isUnlikelyCause = task.failures == 0 || room.isOnProbation || room.view->consecutiveFailures == 0;
-    return isUnlikelyCause && isAcceptable(room);
+    // A task that has failed must not use up its attempts on a worker that may be the cause. It may be placed there once the worker is on
+    // probation: if no other worker is permitted and no other run proves this one healthy, the task would otherwise wait forever.
+    const bool isUnlikelyCause = task.failures == 0 || worker.isOnProbation || worker.view->consecutiveFailures == 0;
+    return isUnlikelyCause && isAcceptable(worker);
 }
 
-bool isBelowPerWorkerLimit(const WorkerCapacity &room, const PendingStep &wanted)
+bool isBelowPerWorkerLimit(const WorkerCapacity &worker, const PendingStep &pending)
 {
-    return wanted.step->mostPerWorker == 0 || room.stepTasks < wanted.step->mostPerWorker;
+    return pending.step->mostPerWorker == 0 || worker.stepTasks < pending.step->mostPerWorker;
 }
 
 bool isCheapToPreempt(const work::StepSpecT &step)
--- a/paddlepier/planning/eligibility.h
+++ b/paddlepier/planning/eligibility.h
@@ -1,11 +1,11 @@
-// Whether a worker may get a task of a step at all, however much room it has.
+// Predicates that decide whether a worker may run a task of a step, apart from its free capacity.
 //
-// A worker on which every run fails looks free all the time and would draw all the work: after a few failures in a row it
-// gets none for a while, and then shows itself by one run at a time. Attempts are few, so that a task that has failed
-// before goes only where nothing failed lately.
+// A worker on which every run fails looks idle all the time and would attract all work. After several failures in a row it
+// gets no work for a while, and then one run at a time as a test. Since attempts are limited, a task that has already failed is placed only on
+// workers without recent failures.
 //
 // Example:
-//     if (mayRun(room, wanted, service) && isAcceptable(room)) { ... }
+//     if (mayRun(worker, pending, service) && isAcceptable(worker)) { ... }
 //
 // Thread safety: free functions without state. Cost: O(1).
 
@@ -19,19 +19,19 @@
 namespace paddlepier::planning
 {
 
-/** Failed ends in a row after which a worker gets no work for a while; one alone may be the task's own fault. */
+/** Consecutive failed runs after which a worker gets no work for a while; a single failure may be caused by the task. */
 constexpr std::uint32_t suspectFailureThreshold = 2;
 
-/** @param service  number of the step's service among the rooms */
-bool mayRun(const WorkerCapacity &room, const PendingStep &wanted, std::uint32_t service);
-/** It hasn't failed too much lately, or is to show itself; and no task is proving itself there. */
-bool isAcceptable(const WorkerCapacity &room);
-/** The same for a task that may have failed before. */
-bool isTrustedFor(const WorkerCapacity &room, const workload::Task &task);
-/** One more task of the step keeps to the step's bound for each worker. */
-bool isBelowPerWorkerLimit(const WorkerCapacity &room, const PendingStep &wanted);
+/** True if the worker is usable and offers the step's service and label. @param service  number of the step's service in the capacity index */
+bool mayRun(const WorkerCapacity &worker, const PendingStep &pending, std::uint32_t service);
+/** True if the worker has few recent failures, or is idle and on probation; false while it is isolated for a suspect task. */
+bool isAcceptable(const WorkerCapacity &worker);
+/** Like isAcceptable(), but a task that has failed before also needs a worker without recent failures, or one on probation. */
+bool isTrustedFor(const WorkerCapacity &worker, const workload::Task &task);
+/** True if the step's limit of tasks per worker admits one more. */
+bool isBelowPerWorkerLimit(const WorkerCapacity &worker, const PendingStep &pending);
 
-/** A run of the step can be stopped and go on later without losing much: it saves its progress, and nothing depends on its staying. */
+/** A run of the step can be stopped and resumed with little loss: it saves checkpoints, and no other run depends on it. */
 bool isCheapToPreempt(const work::StepSpecT &step);
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/objectiveforecast.cpp
+++ b/paddlepier/planning/objectiveforecast.cpp
@@ -1,4 +1,4 @@
-// Whether a job can still meet its objective.
+// Forecasts whether a job can still meet its objective.
 
 #include "paddlepier/planning/objectiveforecast.h"
 
@@ -11,7 +11,7 @@
 namespace
 {
 
-/** The objective allows for one question to the policy service a step, on this many workers. */
+/** The objective includes the time of one advice request for each step, about this many workers. */
 constexpr double workersOfOneQuestion = 30;
 
 /** A job counts as late up to this many times its objective. */
@@ -22,20 +22,20 @@
     return queue.advice ? queue.advice->decisionMillis + workersOfOneQuestion * queue.advice->perWorkerMillis : 0;
 }
 
-/** Longest chain of steps, in milliseconds; @p isCounted tells which steps take time. */
+/** Duration of the longest chain of steps in milliseconds; steps for which @p isCounted returns false count as 0. */
 template<typename Predicate>
-double longestChain(const workload::Job &job, double usualRatio, Predicate isCounted)
+double longestChain(const workload::Job &job, double typicalRatio, Predicate isCounted)
 {
     std::vector<double> ends;
     double longest = 0;
     for (std::uint32_t number = 0; number < job.spec().steps.size(); ++number) {
         const work::StepSpecT &step = job.stepSpec(number);
-        double begin = 0;
+        double start = 0;
         for (const std::uint32_t earlier : step.after) {
-            begin = std::max(begin, ends.at(earlier));
+            start = std::max(start, ends.at(earlier));
         }
-        const double own = isCounted(number) ? step.estimatedMillis * usualRatio + adviceMillis(job.queue()) : 0;
-        ends.push_back(begin + own);
+        const double duration = isCounted(number) ? step.estimatedMillis * typicalRatio + adviceMillis(job.queue()) : 0;
+        ends.push_back(start + duration);
         longest = std::max(longest, ends.back());
     }
     return longest;
@@ -43,32 +43,32 @@
 
 } // namespace
 
-ObjectiveForecast forecastObjective(const workload::Job &job, std::uint32_t occurrence, std::int64_t wallMillis, double usualRatio)
+ObjectiveForecast forecastObjective(const workload::Job &job, std::uint32_t occurrence, std::int64_t wallMillis, double typicalRatio)
 {
-    const double chain = longestChain(job, usualRatio, [](std::uint32_t) { return true; });
+    const double chain = longestChain(job, typicalRatio, [](std::uint32_t) { return true; });
     const std::vector<workload::Step> &steps = job.occurrences().at(occurrence).steps;
     const double objective = job.queue().stretch * chain + job.queue().targetLatencyMillis;
     const double age = static_cast<double>(wallMillis - std::max(job.submittedAtMillis(), job.dueMillis(occurrence)));
-    ObjectiveForecast prospect;
-    prospect.remainingMillis = longestChain(job, usualRatio, [&steps](std::uint32_t number) { return !steps[number].isDone(); });
-    const double earliestEnd = age + prospect.remainingMillis;
-    prospect.slackMillis = objective - earliestEnd;
-    prospect.lateSlackMillis = lateFactor * objective - earliestEnd;
-    prospect.status = prospect.slackMillis >= 0       ? ObjectiveStatus::InTime
-                      : prospect.lateSlackMillis >= 0 ? ObjectiveStatus::Late
+    ObjectiveForecast forecast;
+    forecast.remainingMillis = longestChain(job, typicalRatio, [&steps](std::uint32_t number) { return !steps[number].isDone(); });
+    const double earliestEnd = age + forecast.remainingMillis;
+    forecast.slackMillis = objective - earliestEnd;
+    forecast.lateSlackMillis = lateFactor * objective - earliestEnd;
+    forecast.status = forecast.slackMillis >= 0       ? ObjectiveStatus::InTime
+                      : forecast.lateSlackMillis >= 0 ? ObjectiveStatus::Late
                                                       : ObjectiveStatus::Unattainable;
-    return prospect;
+    return forecast;
 }
 
-ObjectiveForecaster::ObjectiveForecaster(const std::map<std::string, double> &usualRatiosByQueue)
-    : typicalRatios(usualRatiosByQueue)
+ObjectiveForecaster::ObjectiveForecaster(const std::map<std::string, double> &typicalRatiosByQueue)
+    : typicalRatios(typicalRatiosByQueue)
 {
 }
 
 double ObjectiveForecaster::typicalRatio(const std::string &queue) const
 {
-    const auto usual = this->typicalRatios.find(queue);
-    return usual == this->typicalRatios.end() ? 1.0 : usual->second;
+    const auto typical = this->typicalRatios.find(queue);
+    return typical == this->typicalRatios.end() ? 1.0 : typical->second;
 }
 
 ObjectiveForecast ObjectiveForecaster::forecast(const workload::Job &job, std::uint32_t occurrence, std::int64_t wallMillis) const
--- a/paddlepier/planning/objectiveforecast.h
+++ b/paddlepier/planning/objectiveforecast.h
@@ -1,8 +1,8 @@
-// Whether a job can still meet its objective if it is served at once.
+// Forecasts whether a job can still meet its objective if it is served immediately.
 //
-// A job's objective is its queue's stretch times its longest chain of steps, and the queue's target latency more; up to
-// three times that it counts as late, and for nothing after that. Estimates are corrected by what runs of the queue
-// usually take.
+// The objective of a job is the duration of its longest chain of steps times the queue's stretch, plus the queue's target latency. Up to
+// three times that duration the job counts as late; after that, serving it has no value. Estimates are corrected by the typical ratio of run
+// time to estimate of the queue.
 //
 // Thread safety: none; owned by the planner. Cost: O(steps).
 
@@ -18,22 +18,22 @@
 namespace paddlepier::planning
 {
 
-/** What a job can still reach if it is served at once; the first is the best. */
+/** The best result that a job can still reach if it is served immediately; enumerators are in descending order of value. */
 enum class ObjectiveStatus { InTime, Late, Unattainable };
 
-/** How an occurrence of a job stands to its objective, if it is served at once from now on. */
+/** Forecast for an occurrence of a job, assuming that it is served immediately from now on. */
 struct ObjectiveForecast {
     ObjectiveStatus status = ObjectiveStatus::InTime;
-    /** How long it may still wait and meet the objective; negative if it can't any more. */
+    /** How long it may still wait and meet the objective; negative if it no longer can. */
     double slackMillis = 0;
-    /** What is left of its longest chain of steps. */
+    /** Duration of the longest chain of unfinished steps. */
     double remainingMillis = 0;
-    /** How long it may still wait and not be hopeless. */
+    /** How long it may still wait without its status becoming Unattainable. */
     double lateSlackMillis = 0;
 
     /**
-     * It can meet its objective, but not after waiting for as long again as it will take: the last moment at which going first
-     * is of use to it, in proportion to its length.
+     * It can meet its objective, but not if it first waits as long as its remaining work takes. The bound is relative to the work because
+     * it is the last moment at which a higher rank helps a job of that length.
      */
     bool hasLowSlack() const
     {
@@ -43,16 +43,16 @@
 
 /**
  * @param wallMillis  milliseconds since 1970
- * @param usualRatio  what runs of the queue take, as a ratio to their estimates
+ * @param typicalRatio  typical ratio of run time to estimate in the job's queue
  */
-ObjectiveForecast forecastObjective(const workload::Job &job, std::uint32_t occurrence, std::int64_t wallMillis, double usualRatio);
+ObjectiveForecast forecastObjective(const workload::Job &job, std::uint32_t occurrence, std::int64_t wallMillis, double typicalRatio);
 
-/** Prospects by what runs of each queue usually take, as it is learned. */
+/** Makes forecasts with the typical run time of each queue, as learned so far. */
 class ObjectiveForecaster
 {
 public:
-    /** @param usualRatiosByQueue  see prospectOf(); a queue that isn't there is taken at its word */
-    explicit ObjectiveForecaster(const std::map<std::string, double> &usualRatiosByQueue);
+    /** @param typicalRatiosByQueue  see forecastObjective(); for a queue without an entry the ratio is 1 */
+    explicit ObjectiveForecaster(const std::map<std::string, double> &typicalRatiosByQueue);
 
     double typicalRatio(const std::string &queue) const;
     ObjectiveForecast forecast(const workload::Job &job, std::uint32_t occurrence, std::int64_t wallMillis) const;
--- a/paddlepier/planning/planner.cpp
+++ b/paddlepier/planning/planner.cpp
@@ -1,4 +1,4 @@
-// Decides which waiting tasks go to which workers.
+// Decides which waiting tasks are placed on which workers.
 
 #include "paddlepier/planning/planner.h"
 
@@ -15,28 +15,31 @@
 namespace
 {
 
-/** A task that needs no advice goes to the best of so many workers with room, which differ little within a data centre. */
-constexpr std::size_t leastChoices = 240;
-constexpr std::size_t choicesPerTask = 2;
+/**
+ * A task that needs no advice is placed on the best of this many workers with free capacity. Workers of one data centre differ too little
+ * to be worth evaluating all of them.
+ */
+constexpr std::size_t minCandidates = 240;
+constexpr std::size_t candidatesPerTask = 2;
 
 } // namespace
 
 Planner::Planner(const workload::Workload &workloadState,
                  const execution::WorkerViews &workerViews,
                  const execution::RunTracks &runTracks,
-                 const execution::TaskBackoff &setbacks,
-                 AdviceCache &book,
-                 const std::map<std::string, double> &usualRatiosByQueue)
-    : adviceCache(book)
-    , capacityIndex(workloadState, workerViews, book)
-    , isolation(workloadState, runTracks, setbacks, this->capacityIndex)
-    , forecaster(usualRatiosByQueue)
+                 const execution::TaskBackoff &taskBackoff,
+                 AdviceCache &cache,
+                 const std::map<std::string, double> &typicalRatiosByQueue)
+    : adviceCache(cache)
+    , capacityIndex(workloadState, workerViews, cache)
+    , isolation(workloadState, runTracks, taskBackoff, this->capacityIndex)
+    , forecaster(typicalRatiosByQueue)
     , order(workloadState, this->forecaster)
     , quotaTracker(workloadState)
     , reserver(workloadState, runTracks, this->forecaster, this->capacityIndex)
-    , adviceRequester(this->capacityIndex, this->reserver, book)
-    , preemptor(workloadState, runTracks, this->forecaster, this->capacityIndex, book)
-    , waits(workloadState, setbacks, this->order, this->capacityIndex, this->isolation)
+    , adviceRequester(this->capacityIndex, this->reserver, cache)
+    , preemptor(workloadState, runTracks, this->forecaster, this->capacityIndex, cache)
+    , waits(workloadState, taskBackoff, this->order, this->capacityIndex, this->isolation)
 {
 }
 
@@ -58,21 +61,21 @@
             break;
         }
         const work::QueueSpecT &queue = waiting->job->queue();
-        // The data centre of a step is chosen when it comes to wait, not when some piece of room happens to be free.
-        const bool isOpen = this->actionFor(now, *waiting) != StepAction::None;
-        if (!isOpen && std::exchange(waiting->isDataCentreChosen, true)) {
+        // A step's data centre is chosen as soon as it waits; chosen later, it would depend on where capacity happens to be free.
+        const bool mayProgress = this->actionFor(now, *waiting) != StepAction::None;
+        if (!mayProgress && std::exchange(waiting->isDataCentreChosen, true)) {
             continue;
         }
-        PendingStep wanted = StepOrder::pendingStep(*waiting, wallMillis);
-        this->capacityIndex.beginStep(now, wanted);
-        const DataCentreChoice home =
-            this->dataCentreSelector.select(wanted, this->capacityIndex, queue.advice ? this->adviceCache.permittedShare(queue.name) : 1.0);
-        wanted.preferredDataCentre = home.preferred;
-        wanted.fallbackDataCentre = home.fallback;
+        PendingStep pending = StepOrder::pendingStep(*waiting, wallMillis);
+        this->capacityIndex.beginStep(now, pending);
+        const DataCentreChoice dataCentres =
+            this->dataCentreSelector.select(pending, this->capacityIndex, queue.advice ? this->adviceCache.permittedShare(queue.name) : 1.0);
+        pending.preferredDataCentre = dataCentres.preferred;
+        pending.fallbackDataCentre = dataCentres.fallback;
         waiting->isDataCentreChosen = true;
-        if (isOpen) {
+        if (mayProgress) {
             ++this->plannedSteps;
-            this->planStep(now, wanted, plan);
+            this->planStep(now, pending, plan);
         }
     }
     plan.preemptions = this->preemptor.drainPreemptions();
@@ -107,16 +110,16 @@
 std::vector<const WaitingStep *> Planner::actionableSteps(Timestamp now)
 {
     std::vector<const WaitingStep *> steps;
-    std::size_t worth = 0;
+    std::size_t scheduledEnd = 0;
     for (const WaitingStep &waiting : this->order.steps()) {
-        const StepAction use = this->actionFor(now, waiting);
-        if (use != StepAction::None || !waiting.isDataCentreChosen) {
+        const StepAction action = this->actionFor(now, waiting);
+        if (action != StepAction::None || !waiting.isDataCentreChosen) {
             steps.push_back(&waiting);
-            worth = use == StepAction::Schedule ? steps.size() : worth;
+            scheduledEnd = action == StepAction::Schedule ? steps.size() : scheduledEnd;
         }
     }
-    // What comes after the last step that may act keeps room from nobody.
-    steps.resize(worth);
+    // A reservation is only needed if a later step could take the capacity.
+    steps.resize(scheduledEnd);
     return steps;
 }
 
@@ -124,44 +127,45 @@
 {
     const work::QueueSpecT &queue = waiting.job->queue();
     const work::StepSpecT &step = waiting.step();
-    const bool hasRoom = this->capacityIndex.hasCapacityFor(queue.service, step);
-    const bool mayServe = this->preemptor.mayPreemptAnywhereFor(queue.priority, waiting.forecast);
-    if (mayServe) {
+    const bool hasCapacity = this->capacityIndex.hasCapacityFor(queue.service, step);
+    const bool mayPreempt = this->preemptor.mayPreemptAnywhereFor(queue.priority, waiting.forecast);
+    if (mayPreempt) {
         return StepAction::Schedule;
     }
     const bool isWide = !step.isFilling && this->reserver.isWide(queue.service, step);
-    if (!hasRoom && !isWide) {
+    if (!hasCapacity && !isWide) {
         return StepAction::None;
     }
     if (!queue.advice) {
         return StepAction::Schedule;
     }
     ++this->examinedSteps;
-    const StepAdvice known = this->adviceCache.adviceFor(now, waiting.key);
+    const StepAdvice stepAdvice = this->adviceCache.adviceFor(now, waiting.key);
     const auto fits = [this, &step](std::uint32_t number) {
-        const WorkerCapacity *room = this->capacityIndex.findByAdviceNumber(number);
-        return room != nullptr && room->fits(step);
+        const WorkerCapacity *worker = this->capacityIndex.findByAdviceNumber(number);
+        return worker != nullptr && worker->fits(step);
     };
-    if (this->adviceRequester.mayRequest(known, *queue.advice) || (known.mayHaveTicket && (isWide || this->adviceCache.anyPermitted(now, waiting.key, fits)))) {
+    if (this->adviceRequester.mayRequest(stepAdvice, *queue.advice)
+        || (stepAdvice.mayHaveTicket && (isWide || this->adviceCache.anyPermitted(now, waiting.key, fits)))) {
         return StepAction::Schedule;
     }
-    return known.isPending || isWide ? StepAction::ReserveOnly : StepAction::None;
+    return stepAdvice.isPending || isWide ? StepAction::ReserveOnly : StepAction::None;
 }
 
-void Planner::collectCandidates(const PendingStep &wanted)
+void Planner::collectCandidates(const PendingStep &pending)
 {
     this->candidates.clear();
-    const std::uint32_t service = this->capacityIndex.serviceNumber(wanted.job->queue().service);
-    const auto add = [&](WorkerCapacity &room) {
-        if (room.fits(*wanted.step) && mayRun(room, wanted, service) && isAcceptable(room)) {
-            this->evaluate(this->candidates.emplace_back(Candidate{&room, 0}), wanted);
+    const std::uint32_t service = this->capacityIndex.serviceNumber(pending.job->queue().service);
+    const auto add = [&](WorkerCapacity &worker) {
+        if (worker.fits(*pending.step) && mayRun(worker, pending, service) && isAcceptable(worker)) {
+            this->evaluate(this->candidates.emplace_back(Candidate{&worker, 0}), pending);
         }
     };
-    if (wanted.job->queue().advice == nullptr) {
-        const std::size_t enough = leastChoices + choicesPerTask * wanted.tasks.size();
-        this->capacityIndex.visitByPreference(wanted, [&](WorkerCapacity &room) {
-            add(room);
-            return this->candidates.size() < enough;
+    if (pending.job->queue().advice == nullptr) {
+        const std::size_t maxCandidates = minCandidates + candidatesPerTask * pending.tasks.size();
+        this->capacityIndex.visitByPreference(pending, [&](WorkerCapacity &worker) {
+            add(worker);
+            return this->candidates.size() < maxCandidates;
         });
         return;
     }
@@ -173,131 +177,131 @@
     }
 }
 
-void Planner::evaluate(Candidate &choice, const PendingStep &wanted) const
+void Planner::evaluate(Candidate &candidate, const PendingStep &pending) const
 {
-    const bool isOpen = choice.worker->fits(*wanted.step) && isBelowPerWorkerLimit(*choice.worker, wanted);
-    choice.penalty = isOpen ? penaltyOf(*choice.worker, wanted) : std::numeric_limits<double>::infinity();
+    const bool isAvailable = candidate.worker->fits(*pending.step) && isBelowPerWorkerLimit(*candidate.worker, pending);
+    candidate.penalty = isAvailable ? penaltyOf(*candidate.worker, pending) : std::numeric_limits<double>::infinity();
 }
 
-void Planner::reserve(Candidate &choice, const PendingStep &wanted, std::int32_t tasks)
+void Planner::reserve(Candidate &candidate, const PendingStep &pending, std::int32_t tasks)
 {
-    this->capacityIndex.reserve(*choice.worker, *wanted.step, tasks);
-    this->capacityIndex.countTask(*choice.worker, tasks);
-    this->evaluate(choice, wanted);
+    this->capacityIndex.reserve(*candidate.worker, *pending.step, tasks);
+    this->capacityIndex.countTask(*candidate.worker, tasks);
+    this->evaluate(candidate, pending);
 }
 
-Planner::Candidate *Planner::bestCandidate(const PendingStep &wanted, std::uint32_t index, std::string_view rack)
+Planner::Candidate *Planner::bestCandidate(const PendingStep &pending, std::uint32_t index, std::string_view rack)
 {
-    const workload::Task &task = wanted.progress->tasks[index];
+    const workload::Task &task = pending.progress->tasks[index];
     Candidate *best = nullptr;
-    double least = std::numeric_limits<double>::infinity();
-    for (Candidate &choice : this->candidates) {
-        const double penalty = choice.penalty + SuspectIsolation::penalty(*choice.worker, task);
-        if (penalty >= least || (!rack.empty() && choice.worker->rack() != rack) || !isTrustedFor(*choice.worker, task)) {
+    double lowest = std::numeric_limits<double>::infinity();
+    for (Candidate &candidate : this->candidates) {
+        const double penalty = candidate.penalty + SuspectIsolation::penalty(*candidate.worker, task);
+        if (penalty >= lowest || (!rack.empty() && candidate.worker->rack() != rack) || !isTrustedFor(*candidate.worker, task)) {
             continue;
         }
-        const auto &superseded = choice.worker->record->superseded;
-        if (!superseded.empty() && superseded.contains({wanted.key.job, wanted.key.occurrence, wanted.key.step, index})) {
+        const auto &superseded = candidate.worker->record->superseded;
+        if (!superseded.empty() && superseded.contains({pending.key.job, pending.key.occurrence, pending.key.step, index})) {
             continue;
         }
-        best = &choice;
-        least = penalty;
+        best = &candidate;
+        lowest = penalty;
     }
     return best;
 }
 
-work::PlacementT Planner::placement(const PendingStep &wanted, std::uint32_t task, const workload::Incarnation &worker)
+work::PlacementT Planner::placement(const PendingStep &pending, std::uint32_t task, const workload::Incarnation &worker)
 {
-    const workload::TaskKey key(wanted.key.job, wanted.key.occurrence, wanted.key.step, task);
-    work::PlacementT made;
-    made.task = key.record();
-    made.run = wanted.job->nextRun(key);
-    made.worker = worker.id;
-    made.born = worker.born;
-    return made;
+    const workload::TaskKey key(pending.key.job, pending.key.occurrence, pending.key.step, task);
+    work::PlacementT result;
+    result.task = key.record();
+    result.run = pending.job->nextRun(key);
+    result.worker = worker.id;
+    result.born = worker.born;
+    return result;
 }
 
-void Planner::planStep(Timestamp now, PendingStep &wanted, Plan &plan)
+void Planner::planStep(Timestamp now, PendingStep &pending, Plan &plan)
 {
-    this->isolation.holdBack(now, wanted);
-    this->quotaTracker.limit(wanted);
-    if (wanted.tasks.empty()) {
+    this->isolation.holdBack(now, pending);
+    this->quotaTracker.limit(pending);
+    if (pending.tasks.empty()) {
         return;
     }
-    this->collectCandidates(wanted);
-    const std::size_t waiting = wanted.tasks.size();
-    if (wanted.step->isGang) {
-        this->planGang(wanted, plan);
+    this->collectCandidates(pending);
+    const std::size_t waiting = pending.tasks.size();
+    if (pending.step->isGang) {
+        this->planGang(pending, plan);
     } else {
-        this->placeSingly(wanted, plan);
+        this->placeSingly(pending, plan);
     }
-    this->quotaTracker.reserve(wanted, waiting - wanted.tasks.size());
-    if (wanted.tasks.empty()) {
+    this->quotaTracker.reserve(pending, waiting - pending.tasks.size());
+    if (pending.tasks.empty()) {
         return;
     }
-    const std::vector<FutureCapacity> coming = this->reserver.reserveFor(wanted);
-    if (wanted.job->queue().advice) {
-        std::optional<execution::AdviceRequest> question = this->adviceRequester.request(now, wanted, coming);
-        if (question) {
-            plan.adviceRequests.push_back(std::move(*question));
+    const std::vector<FutureCapacity> futureCapacities = this->reserver.reserveFor(pending);
+    if (pending.job->queue().advice) {
+        std::optional<execution::AdviceRequest> request = this->adviceRequester.request(now, pending, futureCapacities);
+        if (request) {
+            plan.adviceRequests.push_back(std::move(*request));
         }
     }
-    this->preemptor.preemptFor(wanted, coming);
+    this->preemptor.preemptFor(pending, futureCapacities);
 }
 
-void Planner::placeSingly(PendingStep &wanted, Plan &plan)
+void Planner::placeSingly(PendingStep &pending, Plan &plan)
 {
-    std::vector<std::uint32_t> left;
-    for (const std::uint32_t index : wanted.tasks) {
-        Candidate *choice = this->bestCandidate(wanted, index, "");
-        if (choice == nullptr) {
-            left.push_back(index);
+    std::vector<std::uint32_t> remaining;
+    for (const std::uint32_t index : pending.tasks) {
+        Candidate *candidate = this->bestCandidate(pending, index, "");
+        if (candidate == nullptr) {
+            remaining.push_back(index);
             continue;
         }
-        this->reserve(*choice, wanted, 1);
-        this->isolation.recordStart(*choice->worker, wanted.progress->tasks[index], *wanted.step);
-        plan.placements.push_back(placement(wanted, index, choice->worker->incarnation()));
+        this->reserve(*candidate, pending, 1);
+        this->isolation.recordStart(*candidate->worker, pending.progress->tasks[index], *pending.step);
+        plan.placements.push_back(placement(pending, index, candidate->worker->incarnation()));
     }
-    wanted.tasks = std::move(left);
+    pending.tasks = std::move(remaining);
 }
 
-void Planner::planGang(PendingStep &wanted, Plan &plan)
+void Planner::planGang(PendingStep &pending, Plan &plan)
 {
-    if (wanted.step->prefersOneRack) {
+    if (pending.step->prefersOneRack) {
         std::set<std::string_view> racks;
-        for (const Candidate &choice : this->candidates) {
-            racks.insert(choice.worker->rack());
+        for (const Candidate &candidate : this->candidates) {
+            racks.insert(candidate.worker->rack());
         }
         for (const std::string_view rack : racks) {
-            if (this->placeGang(wanted, rack, plan)) {
+            if (this->placeGang(pending, rack, plan)) {
                 return;
             }
         }
     }
-    this->placeGang(wanted, "", plan);
+    this->placeGang(pending, "", plan);
 }
 
-bool Planner::placeGang(PendingStep &wanted, std::string_view rack, Plan &plan)
+bool Planner::placeGang(PendingStep &pending, std::string_view rack, Plan &plan)
 {
-    std::vector<Candidate *> taken;
-    for (const std::uint32_t index : wanted.tasks) {
-        Candidate *choice = this->bestCandidate(wanted, index, rack);
-        if (choice == nullptr) {
+    std::vector<Candidate *> chosen;
+    for (const std::uint32_t index : pending.tasks) {
+        Candidate *candidate = this->bestCandidate(pending, index, rack);
+        if (candidate == nullptr) {
             break;
         }
-        this->reserve(*choice, wanted, 1);
-        taken.push_back(choice);
+        this->reserve(*candidate, pending, 1);
+        chosen.push_back(candidate);
     }
-    if (taken.size() < wanted.tasks.size()) {
-        for (Candidate *choice : taken) {
-            this->reserve(*choice, wanted, -1);
+    if (chosen.size() < pending.tasks.size()) {
+        for (Candidate *candidate : chosen) {
+            this->reserve(*candidate, pending, -1);
         }
         return false;
     }
-    for (std::size_t number = 0; number < taken.size(); ++number) {
-        plan.placements.push_back(placement(wanted, wanted.tasks[number], taken[number]->worker->incarnation()));
+    for (std::size_t number = 0; number < chosen.size(); ++number) {
+        plan.placements.push_back(placement(pending, pending.tasks[number], chosen[number]->worker->incarnation()));
     }
-    wanted.tasks.clear();
+    pending.tasks.clear();
     return true;
 }
 
--- a/paddlepier/planning/planner.h
+++ b/paddlepier/planning/planner.h
@@ -1,22 +1,21 @@
-// Decides which waiting tasks go to which workers, what to ask the policy service, and what makes way for urgent work.
+// Decides which waiting tasks are placed on which workers, which advice is requested, and which runs are preempted.
 //
-// A plan is made from the ledger and from what the leader knows of the workers; nothing is changed by making it. It is a
-// sequence of decisions, each with its own part:
-//  - in which order steps are taken (steporder.h);
-//  - how much its team may still have placed (quotatracker.h);
-//  - who may get a task (eligibility.h, and suspectisolation.h for one that may take workers down), and which of the workers with
-//    room is taken (suitability.h): here;
-//  - where room for wide tasks comes soonest, and is kept (capacityreserver.h);
-//  - what to ask the policy service, and which room to keep until it answers (advicerequester.h);
-//  - which runs make way (preemption.h).
-// Steps of which nothing can come now are passed over unless room has to be kept for them, and a plan ends when as much is placed as
-// may be: what it costs follows from what changed and what can be placed, not from what waits.
+// A plan is computed from the ledger and from the leader's views of the workers; computing it changes neither. Each decision has its own part:
+//  - the order in which steps are planned (steporder.h);
+//  - how many more tasks the team's quota admits (quotatracker.h);
+//  - which workers may run a task (eligibility.h, and suspectisolation.h for a task that may crash workers), and which of those with
+//    free capacity suits best (suitability.h): combined here;
+//  - where capacity for wide tasks becomes free first, and its reservation (capacityreserver.h);
+//  - which advice to request, and what capacity to reserve until the answer arrives (advicerequester.h);
+//  - which runs are preempted (preemption.h).
+// Steps that can't make progress are skipped unless they need a reservation, and a plan ends when its placement budget is used. Its cost
+// therefore depends on what changed and on what can be placed, not on how much is waiting.
 //
 // Example:
 //     const Plan plan = planner.plan(now, wallMillis);
 //
-// Thread safety: none; owned by the control thread. Cost: O(what changed + waiting steps) with a small constant, O(workers) for each
-// question and each step that needs no advice, O(workers that may run it) for each placed task.
+// Thread safety: none; owned by the control thread. Cost: O(changes + waiting steps) with a small constant, O(workers) for each
+// advice request and each step that needs no advice, O(eligible workers) for each placed task.
 
 #ifndef PADDLEPIER_PLANNING_PLANNER_H
 #define PADDLEPIER_PLANNING_PLANNER_H
@@ -54,25 +53,25 @@
 struct Plan {
     std::vector<work::PlacementT> placements;
     std::vector<execution::AdviceRequest> adviceRequests;
-    /** Runs that make way; their tasks go on later from their checkpoints. */
+    /** Runs to stop; their tasks resume later from their checkpoints. */
     std::vector<Preemption> preemptions;
 };
 
-/** What may come of a plan. */
+/** Limits on the output of one plan. */
 struct PlanBudget {
     AdviceBudget adviceBudget;
-    /** The plan ends when it has placed as many tasks; the step or gang that reaches the number is placed as a whole. */
+    /** The plan ends once it has placed this many tasks; the step or gang that reaches the limit is still placed completely. */
     std::size_t placements = std::numeric_limits<std::size_t>::max();
 };
 
-/** Sums of what plans have done, which is what they cost. */
+/** Work done by all plans so far, as a measure of their cost. */
 struct PlanWork {
     std::uint64_t workersRead = 0;
     std::uint64_t jobsReordered = 0;
-    /** Steps that something could come of, and those of them that were planned. */
+    /** Steps that could make progress, and those of them that were planned. */
     std::uint64_t stepsExamined = 0;
     std::uint64_t stepsPlanned = 0;
-    /** How often it was judged when a worker comes to have room for a wide step. */
+    /** Forecasts of when a worker will have free capacity for a wide step. */
     std::uint64_t capacityForecasts = 0;
 };
 
@@ -82,61 +81,61 @@
     Planner(const workload::Workload &workloadState,
             const execution::WorkerViews &workerViews,
             const execution::RunTracks &runTracks,
-            const execution::TaskBackoff &setbacks,
-            AdviceCache &book,
-            const std::map<std::string, double> &usualRatiosByQueue);
+            const execution::TaskBackoff &taskBackoff,
+            AdviceCache &cache,
+            const std::map<std::string, double> &typicalRatiosByQueue);
 
     /** @param wallMillis  milliseconds since 1970 */
     Plan plan(Timestamp now, std::int64_t wallMillis, const PlanBudget &budget = {});
-    /** To be called when a worker's view has changed by anything but the passing of time, or is new. */
+    /** Must be called when a worker's view is new or has changed for any reason other than the passing of time. */
     void markViewChanged(const workload::Incarnation &worker);
 
-    /** Steps that have waited for long, and why; see waitmonitor.h. */
+    /** Steps whose wait exceeds longWaitThreshold, with the reason; see waitmonitor.h. */
     std::vector<LongWait> findLongWaits(Timestamp now, std::int64_t wallMillis);
-    /** The wait of @p job that was found last and lasts; null if there is none. */
+    /** The ongoing long wait of @p job that was reported last; null if there is none. */
     const LongWait *longWaitOf(const std::string &job) const;
 
     PlanWork work() const;
-    /** Teams whose quota has kept tasks waiting since the last call. */
+    /** Teams whose quota has delayed tasks since the last call. */
     std::set<std::string> drainTeamsAtQuota();
 
-    /** Drops what is known of jobs that @p isOver says to have ended; O(steps). */
+    /** Removes the state of jobs for which @p hasEnded returns true; O(steps). */
     template<typename Predicate>
-    void removeEndedJobs(Predicate isOver)
+    void removeEndedJobs(Predicate hasEnded)
     {
-        this->dataCentreSelector.removeEndedJobs(isOver);
+        this->dataCentreSelector.removeEndedJobs(hasEnded);
     }
 
 private:
-    /** A worker that a step may use now. */
+    /** A worker on which tasks of the step may be placed now. */
     struct Candidate {
         WorkerCapacity *worker;
-        /** Infinite while nothing more fits. */
+        /** Infinite while no further task fits. */
         double penalty;
     };
 
-    /** Steps that are worth a look, in order: no step after the last one that may act is among them. */
+    /** Steps that the plan has to process, in order; steps after the last one with StepAction::Schedule are omitted. */
     std::vector<const WaitingStep *> actionableSteps(Timestamp now);
-    /** What planning a step is good for now. */
+    /** What a plan can do for a step now. */
     enum class StepAction {
         None,
-        /** Room is to be kept for it, though nothing can come of it now. */
+        /** It can't make progress, but needs capacity reserved. */
         ReserveOnly,
-        /** It may be placed, asked about, or make others give way. */
+        /** It may be placed, need an advice request, or preempt other runs. */
         Schedule
     };
     StepAction actionFor(Timestamp now, const WaitingStep &waiting);
-    void planStep(Timestamp now, PendingStep &wanted, Plan &plan);
-    void planGang(PendingStep &wanted, Plan &plan);
-    /** Places the tasks on workers of @p rack, or of any if it is empty, where there is room for all. */
-    bool placeGang(PendingStep &wanted, std::string_view rack, Plan &plan);
-    void placeSingly(PendingStep &wanted, Plan &plan);
-    void collectCandidates(const PendingStep &wanted);
-    void evaluate(Candidate &choice, const PendingStep &wanted) const;
-    /** Takes room for one task, or gives it back. */
-    void reserve(Candidate &choice, const PendingStep &wanted, std::int32_t tasks);
-    Candidate *bestCandidate(const PendingStep &wanted, std::uint32_t index, std::string_view rack);
-    static work::PlacementT placement(const PendingStep &wanted, std::uint32_t task, const workload::Incarnation &worker);
+    void planStep(Timestamp now, PendingStep &pending, Plan &plan);
+    void planGang(PendingStep &pending, Plan &plan);
+    /** Places all tasks on workers of @p rack, or of any rack if it is empty. @return false, with nothing placed, if they don't all fit */
+    bool placeGang(PendingStep &pending, std::string_view rack, Plan &plan);
+    void placeSingly(PendingStep &pending, Plan &plan);
+    void collectCandidates(const PendingStep &pending);
+    void evaluate(Candidate &candidate, const PendingStep &pending) const;
+    /** Reserves capacity for @p tasks tasks; a negative number releases it. */
+    void reserve(Candidate &candidate, const PendingStep &pending, std::int32_t tasks);
+    Candidate *bestCandidate(const PendingStep &pending, std::uint32_t index, std::string_view rack);
+    static work::PlacementT placement(const PendingStep &pending, std::uint32_t task, const workload::Incarnation &worker);
 
     AdviceCache &adviceCache;
     CapacityIndex capacityIndex;
--- a/paddlepier/planning/preemption.cpp
+++ b/paddlepier/planning/preemption.cpp
@@ -1,4 +1,4 @@
-// Which runs make way, for urgent work and for wide tasks.
+// Chooses the runs that are preempted for urgent work and for wide tasks.
 
 #include "paddlepier/planning/preemption.h"
 
@@ -12,30 +12,30 @@
 namespace
 {
 
-/** Most preemptions of one plan, so that a burst doesn't stop more than the next plan finds needed. */
-constexpr std::size_t mostPreemptions = 24;
+/** Preemptions of one plan; the limit keeps a burst from stopping more runs than the next plan would still find necessary. */
+constexpr std::size_t maxPreemptions = 24;
 
 /**
- * A plan looks for runs to stop until so many steps have found none: each looks through all runs, and where there are none for these
- * the others, which come later, rarely find any.
+ * A plan stops searching for candidates after this many steps without a result: each search visits all runs, and if it fails for the first
+ * steps it rarely succeeds for later ones.
  */
-constexpr std::size_t mostFruitlessSteps = 8;
+constexpr std::size_t maxUnsuccessfulSteps = 8;
 
 /**
- * Least pause between two plans that make runs give way: those that stop need some of it, and a plan that only passes over steps
- * which wait for an answer costs next to nothing.
+ * Minimum pause between two plans with preemptions. Stopping runs need some of that time, and a plan that only skips steps with pending
+ * advice requests is cheap.
  */
 constexpr Duration preemptionPause = absl::Milliseconds(20);
 
-/** What is late already has less to gain by a stop than the stopped run's job has to lose. */
-bool mayStopAnywhere(std::uint32_t priority, const ObjectiveForecast &prospect)
+/** A late step gains less by a preemption than the job of the stopped run loses. */
+bool mayStopAnywhere(std::uint32_t priority, const ObjectiveForecast &forecast)
 {
-    return priority == 0 && prospect.status == ObjectiveStatus::InTime;
+    return priority == 0 && forecast.status == ObjectiveStatus::InTime;
 }
 
 } // namespace
 
-void PreemptionCandidates::addOccurrence(const workload::Job &job, std::uint32_t occurrence, const execution::RunTracks &tracks, CapacityIndex &rooms)
+void PreemptionCandidates::addOccurrence(const workload::Job &job, std::uint32_t occurrence, const execution::RunTracks &tracks, CapacityIndex &capacityIndex)
 {
     const std::vector<workload::Step> &steps = job.occurrences()[occurrence].steps;
     for (std::uint32_t number = 0; number < steps.size(); ++number) {
@@ -45,15 +45,15 @@
         }
         for (std::uint32_t index = 0; index < steps[number].tasks.size(); ++index) {
             const workload::Task &task = steps[number].tasks[index];
-            WorkerCapacity *room = task.hasRun() ? rooms.find(task.worker) : nullptr;
-            if (room == nullptr) {
+            WorkerCapacity *worker = task.hasRun() ? capacityIndex.find(task.worker) : nullptr;
+            if (worker == nullptr) {
                 continue;
             }
             workload::TaskKey key(job.id(), occurrence, number, index);
             const auto track = tracks.find(key);
             if (track != tracks.end() && track->second.phase == execution::RunPhase::Running) {
                 this->runs.push_back(
-                    {std::move(key), room, job.queue().priority, step.demand->milliProcessors(), ObjectiveStatus::InTime, job.submittedAtMillis(), false});
+                    {std::move(key), worker, job.queue().priority, step.demand->milliProcessors(), ObjectiveStatus::InTime, job.submittedAtMillis(), false});
             }
         }
     }
@@ -72,14 +72,14 @@
 
 Preemptor::Preemptor(const workload::Workload &workloadState,
                      const execution::RunTracks &runTracks,
-                     const ObjectiveForecaster &jobProspects,
-                     CapacityIndex &planRooms,
-                     const AdviceCache &book)
+                     const ObjectiveForecaster &jobForecaster,
+                     CapacityIndex &planIndex,
+                     const AdviceCache &cache)
     : state(workloadState)
     , tracks(runTracks)
-    , forecaster(jobProspects)
-    , capacityIndex(planRooms)
-    , adviceCache(book)
+    , forecaster(jobForecaster)
+    , capacityIndex(planIndex)
+    , adviceCache(cache)
 {
 }
 
@@ -93,21 +93,21 @@
     this->preemptions.clear();
 }
 
-bool Preemptor::mayPreemptAnywhereFor(std::uint32_t priority, const ObjectiveForecast &prospect) const
+bool Preemptor::mayPreemptAnywhereFor(std::uint32_t priority, const ObjectiveForecast &forecast) const
 {
-    return this->mayPreempt && this->unsuccessfulSteps < mostFruitlessSteps && this->preemptions.size() < mostPreemptions
-           && mayStopAnywhere(priority, prospect);
+    return this->mayPreempt && this->unsuccessfulSteps < maxUnsuccessfulSteps && this->preemptions.size() < maxPreemptions
+           && mayStopAnywhere(priority, forecast);
 }
 
-void Preemptor::preemptFor(const PendingStep &wanted, const std::vector<FutureCapacity> &coming)
+void Preemptor::preemptFor(const PendingStep &pending, const std::vector<FutureCapacity> &futureCapacities)
 {
-    if (!this->mayPreempt || this->preemptions.size() >= mostPreemptions) {
+    if (!this->mayPreempt || this->preemptions.size() >= maxPreemptions) {
         return;
     }
-    if (!coming.empty()) {
-        this->preemptOnReserved(wanted, coming);
-    } else if (this->mayPreemptAnywhereFor(wanted.job->queue().priority, wanted.forecast)) {
-        this->preemptAnywhere(wanted);
+    if (!futureCapacities.empty()) {
+        this->preemptOnReserved(pending, futureCapacities);
+    } else if (this->mayPreemptAnywhereFor(pending.job->queue().priority, pending.forecast)) {
+        this->preemptAnywhere(pending);
     }
 }
 
@@ -116,91 +116,91 @@
     return std::exchange(this->preemptions, {});
 }
 
-bool Preemptor::mayStopFor(const PendingStep &wanted, const FutureCapacity &coming) const
+bool Preemptor::mayStopFor(const PendingStep &pending, const FutureCapacity &futureCapacity) const
 {
-    const bool hasTicket = wanted.job->queue().advice == nullptr || coming.worker->adviceStatus == AdviceStatus::Permitted;
-    // While an answer is awaited the ticket is there by the time that the room is.
-    return (hasTicket || !this->adviceCache.adviceFor(this->now, wanted.key).mayRequest) && coming.wait <= maxReservationWait;
+    const bool hasTicket = pending.job->queue().advice == nullptr || futureCapacity.worker->adviceStatus == AdviceStatus::Permitted;
+    // If a request is pending, its ticket arrives by the time that the capacity is free.
+    return (hasTicket || !this->adviceCache.adviceFor(this->now, pending.key).mayRequest) && futureCapacity.wait <= maxReservationWait;
 }
 
-void Preemptor::preemptOnReserved(const PendingStep &wanted, const std::vector<FutureCapacity> &coming)
+void Preemptor::preemptOnReserved(const PendingStep &pending, const std::vector<FutureCapacity> &futureCapacities)
 {
     this->nextPreemption = this->now + preemptionPause;
-    const auto isUseful = [&](const FutureCapacity &entry) { return this->mayStopFor(wanted, entry); };
-    // A gang needs the room of all its members at the same time.
-    if (wanted.step->isGang && !std::all_of(coming.begin(), coming.end(), isUseful)) {
+    const auto mayStop = [&](const FutureCapacity &entry) { return this->mayStopFor(pending, entry); };
+    // A gang needs capacity for all its members at the same time.
+    if (pending.step->isGang && !std::all_of(futureCapacities.begin(), futureCapacities.end(), mayStop)) {
         return;
     }
-    for (const FutureCapacity &entry : coming) {
-        if (!isUseful(entry)) {
+    for (const FutureCapacity &entry : futureCapacities) {
+        if (!mayStop(entry)) {
             continue;
         }
         for (OccupyingRun *run : entry.runsToStop) {
             if (!std::exchange(run->isStopping, true)) {
-                this->preemptions.push_back({run->key, wanted.key});
+                this->preemptions.push_back({run->key, pending.key});
             }
         }
     }
 }
 
-void Preemptor::preemptAnywhere(const PendingStep &wanted)
+void Preemptor::preemptAnywhere(const PendingStep &pending)
 {
     this->nextPreemption = this->now + preemptionPause;
     this->capacityIndex.countReleasing(this->tracks);
-    std::size_t missing = wanted.tasks.size();
-    const std::uint32_t service = this->capacityIndex.serviceNumber(wanted.job->queue().service);
-    for (WorkerCapacity &room : this->capacityIndex.all()) {
-        // Room that is free or on its way serves first.
-        if (missing > 0 && isSuitable(room, wanted, service)) {
-            missing -= this->claimCapacity(room, wanted, missing);
+    std::size_t missing = pending.tasks.size();
+    const std::uint32_t service = this->capacityIndex.serviceNumber(pending.job->queue().service);
+    for (WorkerCapacity &worker : this->capacityIndex.all()) {
+        // Capacity that is free or being released is used before any run is preempted.
+        if (missing > 0 && isSuitable(worker, pending, service)) {
+            missing -= this->claimCapacity(worker, pending, missing);
         }
     }
     const std::size_t before = this->preemptions.size();
     if (missing > 0) {
-        this->stopRuns(wanted, missing);
+        this->stopRuns(pending, missing);
     }
     this->unsuccessfulSteps += missing > 0 && this->preemptions.size() == before ? 1 : 0;
 }
 
-void Preemptor::stopRuns(const PendingStep &wanted, std::size_t missing)
+void Preemptor::stopRuns(const PendingStep &pending, std::size_t missing)
 {
     if (!std::exchange(this->areCandidatesCollected, true)) {
         this->candidates.collect(this->state, this->tracks, this->capacityIndex, [this](const workload::Job &job, std::uint32_t occurrence) {
             return this->forecaster.forecast(job, occurrence, this->wallMillis).status;
         });
     }
-    const std::uint32_t service = this->capacityIndex.serviceNumber(wanted.job->queue().service);
-    this->candidates.visitInOrder(wanted.preferredDataCentre, [&](PreemptionCandidate &run) {
-        if (isSuitable(*run.worker, wanted, service)) {
+    const std::uint32_t service = this->capacityIndex.serviceNumber(pending.job->queue().service);
+    this->candidates.visitInOrder(pending.preferredDataCentre, [&](PreemptionCandidate &run) {
+        if (isSuitable(*run.worker, pending, service)) {
             run.isChosen = true;
-            this->preemptions.push_back({run.key, wanted.key});
+            this->preemptions.push_back({run.key, pending.key});
             this->capacityIndex.markModified(*run.worker);
             run.worker->releasingProcessors += run.milliProcessors;
-            missing -= this->claimCapacity(*run.worker, wanted, missing);
+            missing -= this->claimCapacity(*run.worker, pending, missing);
         }
-        return missing > 0 && this->preemptions.size() < mostPreemptions;
+        return missing > 0 && this->preemptions.size() < maxPreemptions;
     });
 }
 
-bool Preemptor::isSuitable(const WorkerCapacity &room, const PendingStep &wanted, std::uint32_t service)
+bool Preemptor::isSuitable(const WorkerCapacity &worker, const PendingStep &pending, std::uint32_t service)
 {
-    return room.adviceStatus != AdviceStatus::Forbidden && mayRun(room, wanted, service) && isBelowPerWorkerLimit(room, wanted)
-           && room.view->consecutiveFailures == 0;
+    return worker.adviceStatus != AdviceStatus::Forbidden && mayRun(worker, pending, service) && isBelowPerWorkerLimit(worker, pending)
+           && worker.view->consecutiveFailures == 0;
 }
 
-std::size_t Preemptor::claimCapacity(WorkerCapacity &room, const PendingStep &wanted, std::size_t missing)
+std::size_t Preemptor::claimCapacity(WorkerCapacity &worker, const PendingStep &pending, std::size_t missing)
 {
-    const std::int64_t each = wanted.step->demand->milliProcessors();
-    if (each == 0) {
+    const std::int64_t perTask = pending.step->demand->milliProcessors();
+    if (perTask == 0) {
         return missing;
     }
-    // What a room has shrunk by is given back before anything is free.
-    const std::int64_t shortage = std::min<std::int64_t>(0, room.record->freeMilliProcessors());
-    const std::int64_t available = std::max<std::int64_t>(0, room.freeProcessors) + room.releasingProcessors + shortage;
-    const std::size_t claimed = std::min(missing, static_cast<std::size_t>(std::max<std::int64_t>(0, available / each)));
+    // If the worker's capacity was reduced below its reservations, released processors cover that deficit first.
+    const std::int64_t deficit = std::min<std::int64_t>(0, worker.record->freeMilliProcessors());
+    const std::int64_t available = std::max<std::int64_t>(0, worker.freeProcessors) + worker.releasingProcessors + deficit;
+    const std::size_t claimed = std::min(missing, static_cast<std::size_t>(std::max<std::int64_t>(0, available / perTask)));
     if (claimed > 0) {
-        this->capacityIndex.markModified(room);
-        room.releasingProcessors -= each * static_cast<std::int64_t>(claimed);
+        this->capacityIndex.markModified(worker);
+        worker.releasingProcessors -= perTask * static_cast<std::int64_t>(claimed);
     }
     return claimed;
 }
--- a/paddlepier/planning/preemption.h
+++ b/paddlepier/planning/preemption.h
@@ -1,16 +1,16 @@
-// Runs that may make way for other work, and which of them do.
+// Chooses the runs that are preempted for other work.
 //
-// Urgent work (priority 0) may take the place of any run that saves its progress: those near the step's other tasks go first,
-// then what can't be served in time any more, and then the youngest; where room is short some jobs end in time instead of
-// all ending late. Urgent work that is late already stops nothing. Work of other queues makes less urgent runs give way only
-// for wide tasks, which would find no room otherwise, and only where room is chosen and kept for them (capacityreserver.h).
+// Urgent work (priority 0) may preempt any run of a lower priority that saves checkpoints. Candidates are ordered by nearness to the step's
+// other tasks, then by the status of their job (unattainable first), then youngest first; under scarcity this completes some jobs in time
+// instead of making all late. Urgent work that is already late preempts nothing. Other queues preempt less urgent runs only for
+// wide tasks, which would otherwise never get capacity, and only where the capacity is reserved for them (capacityreserver.h).
 //
 // Example:
-//     way.begin(now, wallMillis);
-//     way.makeRoom(wanted, coming);
-//     plan.preempted = way.takePreempted();
+//     preemptor.begin(now, wallMillis);
+//     preemptor.preemptFor(pending, futureCapacities);
+//     plan.preemptions = preemptor.drainPreemptions();
 //
-// Thread safety: none; owned by the planner. Cost: O(tasks of jobs that may make way), once a plan.
+// Thread safety: none; owned by the planner. Cost: O(tasks of jobs with candidates), once a plan.
 
 #ifndef PADDLEPIER_PLANNING_PREEMPTION_H
 #define PADDLEPIER_PLANNING_PREEMPTION_H
@@ -42,9 +42,9 @@
 class PreemptionCandidates
 {
 public:
-    /** @param outlookOfOccurrence  gives the outlook of an occurrence of a job */
-    template<typename OutlookOf>
-    void collect(const workload::Workload &state, const execution::RunTracks &tracks, CapacityIndex &rooms, OutlookOf outlookOfOccurrence)
+    /** @param statusOfOccurrence  returns the objective status of an occurrence of a job */
+    template<typename StatusOf>
+    void collect(const workload::Workload &state, const execution::RunTracks &tracks, CapacityIndex &capacityIndex, StatusOf statusOfOccurrence)
     {
         this->runs.clear();
         for (const std::string &id : state.activeJobs()) {
@@ -54,11 +54,11 @@
             }
             for (std::uint32_t occurrence = 0; occurrence < job.occurrences().size(); ++occurrence) {
                 const std::size_t before = this->runs.size();
-                this->addOccurrence(job, occurrence, tracks, rooms);
+                this->addOccurrence(job, occurrence, tracks, capacityIndex);
                 if (this->runs.size() > before) {
-                    const ObjectiveStatus outlook = outlookOfOccurrence(job, occurrence);
-                    std::for_each(this->runs.begin() + static_cast<std::ptrdiff_t>(before), this->runs.end(), [outlook](PreemptionCandidate &run) {
-                        run.objectiveStatus = outlook;
+                    const ObjectiveStatus status = statusOfOccurrence(job, occurrence);
+                    std::for_each(this->runs.begin() + static_cast<std::ptrdiff_t>(before), this->runs.end(), [status](PreemptionCandidate &run) {
+                        run.objectiveStatus = status;
                     });
                 }
             }
@@ -66,14 +66,14 @@
         this->sort();
     }
 
-    /** Gives all that may make way to @p visit, those in the data centre @p home first, until that returns false. */
+    /** Passes all candidates that aren't chosen yet to @p visit until it returns false, those in the data centre @p preferred first. */
     template<typename Visit>
-    void visitInOrder(std::uint32_t home, Visit visit)
+    void visitInOrder(std::uint32_t preferred, Visit visit)
     {
-        for (const bool atHome : {true, false}) {
+        for (const bool inPreferred : {true, false}) {
             for (PreemptionCandidate &run : this->runs) {
-                const bool isAtHome = home == noDataCentre || run.worker->dataCentre == home;
-                if (!run.isChosen && isAtHome == atHome && !visit(run)) {
+                const bool isInPreferred = preferred == noDataCentre || run.worker->dataCentre == preferred;
+                if (!run.isChosen && isInPreferred == inPreferred && !visit(run)) {
                     return;
                 }
             }
@@ -81,46 +81,46 @@
     }
 
 private:
-    void addOccurrence(const workload::Job &job, std::uint32_t occurrence, const execution::RunTracks &tracks, CapacityIndex &rooms);
+    void addOccurrence(const workload::Job &job, std::uint32_t occurrence, const execution::RunTracks &tracks, CapacityIndex &capacityIndex);
     void sort();
 
     std::vector<PreemptionCandidate> runs;
 };
 
-/** A run that is to stop, and the waiting step that its room is for. */
+/** A run to stop, and the waiting step that gets its capacity. */
 struct Preemption {
     workload::TaskKey run;
     workload::StepKey servedStep;
 };
 
-/** Decides which runs stop, once for each plan. */
+/** Decides for each plan which runs are preempted. */
 class Preemptor
 {
 public:
     Preemptor(const workload::Workload &workloadState,
               const execution::RunTracks &runTracks,
-              const ObjectiveForecaster &jobProspects,
-              CapacityIndex &planRooms,
-              const AdviceCache &book);
+              const ObjectiveForecaster &jobForecaster,
+              CapacityIndex &planIndex,
+              const AdviceCache &cache);
 
     /** Begins a plan. */
     void begin(Timestamp at, std::int64_t wall);
-    /** This plan may make runs give way anywhere for a step of that priority and prospect. */
-    bool mayPreemptAnywhereFor(std::uint32_t priority, const ObjectiveForecast &prospect) const;
-    /** Stops runs for the waiting tasks of @p wanted: those that @p coming names, or for urgent work any. */
-    void preemptFor(const PendingStep &wanted, const std::vector<FutureCapacity> &coming);
-    /** Runs that make way by this plan. */
+    /** True if this plan may preempt runs on any worker for a step of that priority and forecast. */
+    bool mayPreemptAnywhereFor(std::uint32_t priority, const ObjectiveForecast &forecast) const;
+    /** Preempts runs for the waiting tasks of @p pending: those named by @p futureCapacities, or any run for urgent work if that is empty. */
+    void preemptFor(const PendingStep &pending, const std::vector<FutureCapacity> &futureCapacities);
+    /** The runs that this plan preempts. */
     std::vector<Preemption> drainPreemptions();
 
 private:
-    /** Stops runs where room for a wide step is then there while its tickets are good. */
-    void preemptOnReserved(const PendingStep &wanted, const std::vector<FutureCapacity> &coming);
-    bool mayStopFor(const PendingStep &wanted, const FutureCapacity &coming) const;
-    void preemptAnywhere(const PendingStep &wanted);
-    void stopRuns(const PendingStep &wanted, std::size_t missing);
-    static bool isSuitable(const WorkerCapacity &room, const PendingStep &wanted, std::uint32_t service);
-    /** Takes room that is free or on its way for up to @p missing tasks; @return for how many there is some */
-    std::size_t claimCapacity(WorkerCapacity &room, const PendingStep &wanted, std::size_t missing);
+    /** Preempts runs where the capacity reserved for a wide step becomes complete while its tickets are valid. */
+    void preemptOnReserved(const PendingStep &pending, const std::vector<FutureCapacity> &futureCapacities);
+    bool mayStopFor(const PendingStep &pending, const FutureCapacity &futureCapacity) const;
+    void preemptAnywhere(const PendingStep &pending);
+    void stopRuns(const PendingStep &pending, std::size_t missing);
+    static bool isSuitable(const WorkerCapacity &worker, const PendingStep &pending, std::uint32_t service);
+    /** Claims processors that are free or being released for up to @p missing tasks. @return the number of tasks that got some */
+    std::size_t claimCapacity(WorkerCapacity &worker, const PendingStep &pending, std::size_t missing);
 
     const workload::Workload &state;
     const execution::RunTracks &tracks;
@@ -131,9 +131,9 @@
     std::int64_t wallMillis = 0;
     PreemptionCandidates candidates;
     bool areCandidatesCollected = false;
-    /** This plan may make runs give way. */
+    /** False while the pause after the last plan with preemptions lasts. */
     bool mayPreempt = true;
-    /** Steps of this plan for which no run to stop was found. */
+    /** Steps of this plan for which no run to preempt was found. */
     std::size_t unsuccessfulSteps = 0;
     Timestamp nextPreemption = absl::InfinitePast();
     std::vector<Preemption> preemptions;
--- a/paddlepier/planning/quotatracker.cpp
+++ b/paddlepier/planning/quotatracker.cpp
@@ -1,4 +1,4 @@
-// What a plan may still place of each team's quota.
+// Tracks what a plan may still place within each team's quota.
 
 #include "paddlepier/planning/quotatracker.h"
 
@@ -8,11 +8,11 @@
 namespace paddlepier::planning
 {
 
-std::size_t tasksWithin(const workload::QuotaHeadroom &room, const PendingStep &wanted)
+std::size_t tasksWithin(const workload::QuotaHeadroom &headroom, const PendingStep &pending)
 {
-    const std::size_t waiting = wanted.tasks.size();
-    const std::size_t allowed = std::min(room.tasksThatFit(*wanted.step), waiting);
-    return wanted.step->isGang && allowed < waiting ? 0 : allowed;
+    const std::size_t waiting = pending.tasks.size();
+    const std::size_t allowed = std::min(headroom.tasksThatFit(*pending.step), waiting);
+    return pending.step->isGang && allowed < waiting ? 0 : allowed;
 }
 
 QuotaTracker::QuotaTracker(const workload::Workload &workloadState)
@@ -31,19 +31,19 @@
     return found != this->headrooms.end() ? found->second : this->headrooms.emplace(team, this->state.teams().headroomOf(team)).first->second;
 }
 
-void QuotaTracker::limit(PendingStep &wanted)
+void QuotaTracker::limit(PendingStep &pending)
 {
-    const std::string &team = wanted.job->team();
-    const std::size_t allowed = tasksWithin(this->headroomOf(team), wanted);
-    if (allowed < wanted.tasks.size()) {
+    const std::string &team = pending.job->team();
+    const std::size_t allowed = tasksWithin(this->headroomOf(team), pending);
+    if (allowed < pending.tasks.size()) {
         this->teamsAtQuota.insert(team);
-        wanted.tasks.resize(allowed);
+        pending.tasks.resize(allowed);
     }
 }
 
-void QuotaTracker::reserve(const PendingStep &wanted, std::size_t tasks)
+void QuotaTracker::reserve(const PendingStep &pending, std::size_t tasks)
 {
-    this->headroomOf(wanted.job->team()).reserve(*wanted.step, tasks);
+    this->headroomOf(pending.job->team()).reserve(*pending.step, tasks);
 }
 
 std::set<std::string> QuotaTracker::drainTeamsAtQuota()
--- a/paddlepier/planning/quotatracker.h
+++ b/paddlepier/planning/quotatracker.h
@@ -1,12 +1,12 @@
-// What a plan may still place of each team's quota.
+// Tracks what a plan may still place within each team's quota.
 //
-// The ledger refuses what goes over a quota, and a plan that proposed it would keep room and ask the policy service for
-// nothing. What one step places leaves less for the next; what it only asks about doesn't, since that may come to nothing.
+// The ledger rejects placements beyond a quota; a plan that proposed them would reserve capacity and request advice in
+// vain. Placements of a step reduce the headroom for the next one; advice requests don't, since they may not lead to a placement.
 //
 // Example:
-//     quotas.limit(wanted);
-//     ... place some of wanted.tasks ...
-//     quotas.take(*wanted.job, *wanted.step, placed);
+//     quotaTracker.limit(pending);
+//     ... place some of pending.tasks ...
+//     quotaTracker.reserve(pending, placed);
 //
 // Thread safety: none; owned by the planner. Cost: O(log teams) each.
 
@@ -24,8 +24,8 @@
 namespace paddlepier::planning
 {
 
-/** How many of the step's waiting tasks @p room has room for; of a gang all or none. */
-std::size_t tasksWithin(const workload::QuotaHeadroom &room, const PendingStep &wanted);
+/** Number of the step's waiting tasks that fit into @p headroom; for a gang all or none. */
+std::size_t tasksWithin(const workload::QuotaHeadroom &headroom, const PendingStep &pending);
 
 class QuotaTracker
 {
@@ -34,11 +34,11 @@
 
     /** Begins a plan. */
     void begin();
-    /** Leaves the first of the tasks, as many as are within the team's quota. */
-    void limit(PendingStep &wanted);
-    /** So many tasks of the step are placed by this plan. */
-    void reserve(const PendingStep &wanted, std::size_t tasks);
-    /** Teams whose quota has kept tasks waiting since the last call. */
+    /** Truncates the list of tasks to those within the team's quota. */
+    void limit(PendingStep &pending);
+    /** Records that this plan places @p tasks tasks of the step. */
+    void reserve(const PendingStep &pending, std::size_t tasks);
+    /** Teams whose quota has delayed tasks since the last call. */
     std::set<std::string> drainTeamsAtQuota();
 
 private:
--- a/paddlepier/planning/steporder.cpp
+++ b/paddlepier/planning/steporder.cpp
@@ -16,47 +16,46 @@
 {
 
 /**
- * What a job needs beyond its remaining work, as a share of it, to end in time: its tasks are placed one after the other as room and
- * tickets come, and the next steps wait for the last of them.
+ * Slack that a job needs to start, as a share of its remaining work: its tasks are placed one by one as capacity and tickets become
+ * available, and the following steps wait for the last of them.
  */
-constexpr double leastSlackToBegin = 0.7;
+constexpr double minSlackToStart = 0.7;
 
-/** A queue's jobs are judged anew when its runs take so much more or less than was assumed; far below what estimates are wrong by. */
+/** Relative change of a queue's typical ratio that re-evaluates its jobs; far below the usual error of estimates. */
 constexpr double ratioTolerance = 0.05;
 
 constexpr std::int64_t never = std::numeric_limits<std::int64_t>::max();
 
-/** A task of the step has been placed. Of one that was preempted as a whole, the first task tells. */
+/** A task of the step has been placed. If all its runs were preempted, the first task still has a run number. */
 bool wasPlaced(const workload::Step &step)
 {
     return step.runningTasks > 0 || step.doneTasks > 0 || step.tasks.front().lastRun > 0;
 }
 
-double slackBeyondBeginning(const ObjectiveForecast &prospect)
+double slackBeyondStart(const ObjectiveForecast &forecast)
 {
-    return prospect.slackMillis - leastSlackToBegin * prospect.remainingMillis;
+    return forecast.slackMillis - minSlackToStart * forecast.remainingMillis;
 }
 
-bool isTooLateToBegin(const ObjectiveForecast &prospect)
+bool isTooLateToStart(const ObjectiveForecast &forecast)
 {
-    return prospect.status == ObjectiveStatus::InTime && slackBeyondBeginning(prospect) < 0;
+    return forecast.status == ObjectiveStatus::InTime && slackBeyondStart(forecast) < 0;
 }
 
-std::uint32_t rankOf(const workload::Job &job, const ObjectiveForecast &prospect)
+std::uint32_t rankOf(const workload::Job &job, const ObjectiveForecast &forecast)
 {
     const std::uint32_t priority = job.queue().priority;
-    return priority > 1 && prospect.hasLowSlack() ? priority - 1 : priority;
+    return priority > 1 && forecast.hasLowSlack() ? priority - 1 : priority;
 }
 
-/** After how long a judgement by @p prospect is another one, if nothing but the time changes. */
-std::int64_t millisUntilChange(const ObjectiveForecast &prospect)
+/** Time after which the evaluation of @p forecast changes if nothing but time passes. */
+std::int64_t millisUntilChange(const ObjectiveForecast &forecast)
 {
-    double least = std::numeric_limits<double>::infinity();
-    for (const double slack :
-         {prospect.slackMillis, prospect.slackMillis - prospect.remainingMillis, slackBeyondBeginning(prospect), prospect.lateSlackMillis}) {
-        least = slack >= 0 ? std::min(least, slack) : least;
+    double nearest = std::numeric_limits<double>::infinity();
+    for (const double slack : {forecast.slackMillis, forecast.slackMillis - forecast.remainingMillis, slackBeyondStart(forecast), forecast.lateSlackMillis}) {
+        nearest = slack >= 0 ? std::min(nearest, slack) : nearest;
     }
-    return std::isinf(least) ? never : static_cast<std::int64_t>(least) + 1;
+    return std::isinf(nearest) ? never : static_cast<std::int64_t>(nearest) + 1;
 }
 
 bool isWaiting(const workload::Step &progress, const work::StepSpecT &step)
@@ -73,18 +72,18 @@
 
 bool WaitingStep::operator<(const WaitingStep &other) const
 {
-    const auto place = [](const WaitingStep &entry) {
+    const auto sortKey = [](const WaitingStep &entry) {
         return std::tuple(entry.rank, entry.forecast.status, !entry.hasStarted, entry.job->submittedAtMillis());
     };
-    if (place(*this) != place(other)) {
-        return place(*this) < place(other);
+    if (sortKey(*this) != sortKey(other)) {
+        return sortKey(*this) < sortKey(other);
     }
     return this->key < other.key;
 }
 
-StepOrder::StepOrder(const workload::Workload &workloadState, const ObjectiveForecaster &jobProspects)
+StepOrder::StepOrder(const workload::Workload &workloadState, const ObjectiveForecaster &jobForecaster)
     : state(workloadState)
-    , forecaster(jobProspects)
+    , forecaster(jobForecaster)
 {
 }
 
@@ -110,9 +109,9 @@
 std::set<std::string> StepOrder::drainChangedJobs(std::int64_t wallMillis)
 {
     std::set<std::string> jobs;
-    const bool reachesBack = this->state.jobChanges().visitSince(this->readUntil, [&jobs](const std::string &id) { jobs.insert(id); });
-    if (!reachesBack) {
-        // Jobs may be gone: nothing of them is looked at any more.
+    const bool isComplete = this->state.jobChanges().visitSince(this->readUntil, [&jobs](const std::string &id) { jobs.insert(id); });
+    if (!isComplete) {
+        // The change log doesn't reach back far enough. Entries may point to removed jobs and must not be dereferenced.
         this->order.clear();
         this->byJob.clear();
         jobs = this->state.waitingJobs();
@@ -128,9 +127,9 @@
 {
     std::set<std::string> queues;
     for (auto &[queue, ratio] : this->assumedRatios) {
-        const double usual = this->forecaster.typicalRatio(queue);
-        if (std::abs(usual - ratio) > ratioTolerance * ratio) {
-            ratio = usual;
+        const double typical = this->forecaster.typicalRatio(queue);
+        if (std::abs(typical - ratio) > ratioTolerance * ratio) {
+            ratio = typical;
             queues.insert(queue);
         }
     }
@@ -147,12 +146,12 @@
 void StepOrder::reorderJob(const std::string &id, std::int64_t wallMillis)
 {
     ++this->reorderCount;
-    const auto known = this->byJob.find(id);
-    if (known != this->byJob.end()) {
-        for (const auto &entry : known->second) {
+    const auto existing = this->byJob.find(id);
+    if (existing != this->byJob.end()) {
+        for (const auto &entry : existing->second) {
             this->order.erase(entry);
         }
-        this->byJob.erase(known);
+        this->byJob.erase(existing);
     }
     if (!this->state.waitingJobs().contains(id)) {
         return;
@@ -174,8 +173,8 @@
 std::int64_t StepOrder::reorderOccurrence(const workload::Job &job, std::uint32_t occurrence, std::int64_t wallMillis)
 {
     const std::vector<workload::Step> &steps = job.occurrences()[occurrence].steps;
-    const bool hasBegun = std::any_of(steps.begin(), steps.end(), wasPlaced);
-    std::optional<ObjectiveForecast> prospect;
+    const bool hasStarted = std::any_of(steps.begin(), steps.end(), wasPlaced);
+    std::optional<ObjectiveForecast> forecast;
     for (std::uint32_t number = 0; number < steps.size(); ++number) {
         const work::StepSpecT &step = job.stepSpec(number);
         if (!isWaiting(steps[number], step)) {
@@ -184,57 +183,57 @@
         WaitingStep entry;
         entry.job = &job;
         entry.key = {job.id(), occurrence, number};
-        entry.hasStarted = hasBegun;
+        entry.hasStarted = hasStarted;
         entry.evaluatedAtMillis = wallMillis;
         if (!step.isLasting) {
-            // What is to last has no end to meet.
-            prospect = prospect ? prospect : this->forecaster.forecast(job, occurrence, wallMillis);
-            entry.forecast = *prospect;
+            // A lasting step never ends, so that it has no objective.
+            forecast = forecast ? forecast : this->forecaster.forecast(job, occurrence, wallMillis);
+            entry.forecast = *forecast;
             const std::string &queue = job.queue().name;
             this->assumedRatios.try_emplace(queue, this->forecaster.typicalRatio(queue));
         }
-        if (!hasBegun && isTooLateToBegin(entry.forecast)) {
+        if (!hasStarted && isTooLateToStart(entry.forecast)) {
             entry.forecast.status = ObjectiveStatus::Late;
         }
         entry.rank = rankOf(job, entry.forecast);
         this->byJob[job.id()].push_back(this->order.insert(entry).first);
     }
-    const std::int64_t change = prospect ? millisUntilChange(*prospect) : never;
-    return change == never ? never : wallMillis + change;
+    const std::int64_t untilChange = forecast ? millisUntilChange(*forecast) : never;
+    return untilChange == never ? never : wallMillis + untilChange;
 }
 
 PendingStep StepOrder::pendingStep(const WaitingStep &waiting, std::int64_t wallMillis)
 {
-    PendingStep wanted;
-    wanted.job = waiting.job;
-    wanted.key = waiting.key;
-    wanted.step = &waiting.step();
-    wanted.progress = &waiting.job->occurrences()[waiting.key.occurrence].steps[waiting.key.step];
-    wanted.hasStarted = waiting.hasStarted;
-    wanted.forecast = waiting.forecast;
-    if (!wanted.step->isLasting) {
+    PendingStep pending;
+    pending.job = waiting.job;
+    pending.key = waiting.key;
+    pending.step = &waiting.step();
+    pending.progress = &waiting.job->occurrences()[waiting.key.occurrence].steps[waiting.key.step];
+    pending.hasStarted = waiting.hasStarted;
+    pending.forecast = waiting.forecast;
+    if (!pending.step->isLasting) {
         const auto passed = static_cast<double>(wallMillis - waiting.evaluatedAtMillis);
-        wanted.forecast.slackMillis -= passed;
-        wanted.forecast.lateSlackMillis -= passed;
+        pending.forecast.slackMillis -= passed;
+        pending.forecast.lateSlackMillis -= passed;
     }
-    wanted.tasks.reserve(wanted.progress->waitingTasks);
-    for (std::uint32_t index = 0; index < wanted.progress->tasks.size(); ++index) {
-        if (!wanted.progress->tasks[index].isDone && !wanted.progress->tasks[index].hasRun()) {
-            wanted.tasks.push_back(index);
+    pending.tasks.reserve(pending.progress->waitingTasks);
+    for (std::uint32_t index = 0; index < pending.progress->tasks.size(); ++index) {
+        if (!pending.progress->tasks[index].isDone && !pending.progress->tasks[index].hasRun()) {
+            pending.tasks.push_back(index);
         }
     }
-    return wanted;
+    return pending;
 }
 
 std::vector<PendingStep> StepOrder::collect(std::int64_t wallMillis)
 {
     this->update(wallMillis);
-    std::vector<PendingStep> wanted;
-    wanted.reserve(this->order.size());
+    std::vector<PendingStep> pending;
+    pending.reserve(this->order.size());
     for (const WaitingStep &waiting : this->order) {
-        wanted.push_back(pendingStep(waiting, wallMillis));
+        pending.push_back(pendingStep(waiting, wallMillis));
     }
-    return wanted;
+    return pending;
 }
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/steporder.h
+++ b/paddlepier/planning/steporder.h
@@ -1,21 +1,20 @@
 // The order in which waiting steps are planned.
 //
-// First by the priority of their queue; then what can still meet its objective before what is late, and that before what
-// can't be of use any more; then jobs that have begun before those that haven't; then by age. When room is short some jobs
-// are then served in time instead of all being late: few are under way at a time, and none is begun that would end late.
-// A job with less time to spare than work left goes one priority up, but never to urgent work (priority 0): beside a
-// steady stream of work that goes first, it would otherwise be late without need.
+// Sort keys, most significant first: the priority of the queue; whether the job can still meet its objective (in time, late, unattainable);
+// whether the job has started; age. If capacity is scarce, this completes some jobs in time instead of making all of them late: few jobs
+// are under way at a time, and none is started that would end late.
+// A job whose slack is smaller than its remaining work moves up one priority, but never to priority 0 (urgent work): beside a steady
+// stream of higher-priority work it would otherwise become late although it could be served in time.
 //
-// The order is kept from plan to plan. Jobs that have changed are placed anew, and so are those whose prospects change with the
-// passing of time, at the moment at which they do: with tens of thousands of tasks waiting, sorting them all for each plan left
-// no time to place any.
+// The order is maintained incrementally. Only jobs that changed, and those whose forecast changes with time, are reinserted, the latter at
+// the moment of the change: with tens of thousands of tasks waiting, sorting all of them for each plan left no time for placements.
 //
 // Example:
 //     order.update(wallMillis);
-//     for (const WaitingStep &waiting : order.steps()) { use(order.wantedStep(waiting, wallMillis)); }
+//     for (const WaitingStep &waiting : order.steps()) { use(order.pendingStep(waiting, wallMillis)); }
 //
 // Thread safety: none; owned by the planner. Cost: update() is O(changed jobs x log of the waiting steps), steps() O(1),
-// wantedStep() O(tasks of the step).
+// pendingStep() O(tasks of the step).
 
 #ifndef PADDLEPIER_PLANNING_STEPORDER_H
 #define PADDLEPIER_PLANNING_STEPORDER_H
@@ -36,17 +35,17 @@
 namespace paddlepier::planning
 {
 
-/** A step with tasks that may be placed now, and what its place in the order depends on. */
+/** A step with tasks that may be placed now, and its sort keys. */
 struct WaitingStep {
-    /** Priority of its queue, or one higher. */
+    /** Priority of its queue, or that minus one (one level more urgent) if the job has low slack. */
     std::uint32_t rank = 0;
     bool hasStarted = false;
     const workload::Job *job = nullptr;
     workload::StepKey key;
-    /** As it stood at judgedAtMillis. */
+    /** Evaluated at evaluatedAtMillis. */
     ObjectiveForecast forecast;
     std::int64_t evaluatedAtMillis = 0;
-    /** No part of its place: its data centre has been chosen since the job last changed. */
+    /** Its data centre has been chosen since the job last changed; not a sort key. */
     mutable bool isDataCentreChosen = false;
 
     const work::StepSpecT &step() const;
@@ -56,38 +55,38 @@
 class StepOrder
 {
 public:
-    StepOrder(const workload::Workload &workloadState, const ObjectiveForecaster &jobProspects);
+    StepOrder(const workload::Workload &workloadState, const ObjectiveForecaster &jobForecaster);
 
-    /** Takes in what has changed since the last call. @param wallMillis  milliseconds since 1970 */
+    /** Applies the changes since the last call. @param wallMillis  milliseconds since 1970 */
     void update(std::int64_t wallMillis);
-    /** How often a job was placed in the order. */
+    /** Number of insertions of a job into the order so far. */
     std::uint64_t reorderedJobs() const;
-    /** In order; valid until the next update. */
+    /** Sorted; valid until the next update(). */
     const std::set<WaitingStep> &steps() const;
-    /** The step with its waiting tasks. */
+    /** The step with its waiting tasks and its slack at @p wallMillis. */
     static PendingStep pendingStep(const WaitingStep &waiting, std::int64_t wallMillis);
 
-    /** update(), and all steps with their tasks. */
+    /** Calls update() and returns all steps with their tasks. */
     std::vector<PendingStep> collect(std::int64_t wallMillis);
 
 private:
-    /** Jobs whose place may be another one now. */
+    /** Jobs whose position may have changed. */
     std::set<std::string> drainChangedJobs(std::int64_t wallMillis);
-    /** Adds the jobs of queues that take another time than was assumed. */
+    /** Adds the jobs of queues whose typical run time differs from the assumed one. */
     void addJobsWithChangedRatio(std::set<std::string> &jobs);
     void reorderJob(const std::string &id, std::int64_t wallMillis);
-    /** @return when the place of one of its steps changes next with the time alone */
+    /** @return when the position of one of its steps next changes by the passing of time alone */
     std::int64_t reorderOccurrence(const workload::Job &job, std::uint32_t occurrence, std::int64_t wallMillis);
 
     const workload::Workload &state;
     const ObjectiveForecaster &forecaster;
     std::set<WaitingStep> order;
-    // Invariant: names each entry of `order` once, by its job.
+    // Invariant: contains each entry of `order` exactly once, under the ID of its job.
     absl::flat_hash_map<std::string, std::vector<std::set<WaitingStep>::const_iterator>> byJob;
-    /** Jobs by the time at which they have to be placed anew. */
+    /** Jobs by the time at which they must be reinserted. */
     execution::TimerQueue<std::string> reorderTimers;
     workload::ChangeLog<std::string>::Position readUntil = 0;
-    /** By queue: what its runs usually take, as the order assumes. */
+    /** By queue: ratio of typical run time to estimate that the order is based on. */
     std::map<std::string, double> assumedRatios;
     std::uint64_t reorderCount = 0;
 };
