--- a/paddlepier/planning/suitability.h
+++ b/paddlepier/planning/suitability.h
@@ -1,11 +1,11 @@
-// What a plan knows of a worker and of a waiting step, and how well the one suits the other.
+// The planner's models of a worker and of a waiting step, and the penalty for placing a task of the step on the worker.
 //
-// A job is served only when all its tasks are, and any worker may fail or be cut off, most often with its whole data
-// centre. The tasks of a step are therefore kept together: in one data centre, on few workers, so that one failure holds
-// few jobs up. Steps that last owe nothing as a whole and go where there is most room.
+// A job is served only when all its tasks are, and any worker may fail or be partitioned, most often with its whole data
+// centre. The tasks of a step are therefore kept together, in one data centre and on few workers, so that one failure delays
+// few jobs. Lasting steps don't need to be complete and go to the workers with most free capacity.
 //
 // Example:
-//     const double penalty = penaltyOf(room, step); // the room with the least suits best
+//     const double penalty = penaltyOf(worker, pending); // the worker with the lowest penalty suits best
 //
 // Thread safety: plain values and free functions without state. Cost: O(1).
 
@@ -26,42 +26,42 @@
 namespace paddlepier::planning
 {
 
-/** No data centre is better than another. */
+/** No data centre is preferred or known. */
 constexpr std::uint32_t noDataCentre = std::numeric_limits<std::uint32_t>::max();
 
-/** Tasks of @p step that fit into so much room. */
+/** Number of tasks of @p step that fit into the given capacity. */
 std::size_t tasksThatFitInto(std::int64_t processors, std::int64_t memory, std::int64_t accelerators, const work::StepSpecT &step);
 
-/** One worker as a plan sees it: what is left of it after the placements decided so far. */
+/** One worker as seen by a plan, with the capacity that is free after the placements decided so far. */
 struct WorkerCapacity {
-    /** Key of `worker` in the ledger; both are null while the room is empty. */
+    /** Key of `record` in the ledger; both are null while the entry is vacant. */
     const workload::Incarnation *incarnationKey = nullptr;
     const workload::Worker *record = nullptr;
     const execution::WorkerView *view = nullptr;
-    /** Numbers of the rooms' data centres and services, and of the worker in the advice book. */
+    /** Numbers of the data centre and the service in the capacity index, and of the worker in the advice cache. */
     std::uint32_t dataCentre = 0;
     std::uint32_t service = 0;
     std::uint32_t adviceNumber = 0;
-    /** Its worker answers, doesn't drain and may be given work. */
+    /** The worker is responsive, isn't draining and may get work. */
     bool isUsable = false;
-    /** An answer of its worker is late. */
+    /** An answer of the worker is overdue. */
     bool isOverdue = false;
-    /** A plan has changed it. */
+    /** A plan has modified this entry. */
     bool isModified = false;
-    /** Its machine is off. */
+    /** The worker's service is a spare one: its machine is switched off, and nothing is placed on it. */
     bool isSpare = false;
-    /** Its last runs failed, but its time out is over. */
+    /** Its last runs failed, but its suspension has ended. */
     bool isOnProbation = false;
-    /** Runs there that haven't worked for long yet, of tasks under which workers were lost. */
+    /** Runs of suspect tasks that haven't run long enough to be cleared. */
     std::uint32_t suspectRuns = 0;
-    /** One of them is to show whether its task is the cause: nothing else goes there meanwhile. */
+    /** One of these runs tests whether its task crashes workers; meanwhile no other task is placed here. */
     bool isIsolated = false;
     std::int64_t freeProcessors = 0;
     std::int64_t freeMemory = 0;
     std::int64_t freeAccelerators = 0;
-    /** Processors that stopping runs are about to give back. */
+    /** Millicores that stopping runs are about to release. */
     std::int64_t releasingProcessors = 0;
-    /** Of the step that is being planned: tasks there, whether it was ever counted there, and what the policy service says. */
+    /** For the step that is being planned: tasks on this worker, whether any was ever counted, and the advice of the policy service. */
     std::uint32_t stepTasks = 0;
     bool isCountedForStep = false;
     AdviceStatus adviceStatus = AdviceStatus::NotRequested;
@@ -69,7 +69,7 @@
     const workload::Incarnation &incarnation() const;
     std::string_view rack() const;
 
-    /** Asked for each worker and step of a plan, so that it is best inlined. */
+    /** Called for each worker and step of a plan; defined here to be inlined. */
     bool fits(const work::StepSpecT &step) const
     {
         const work::Demand &demand = *step.demand;
@@ -78,32 +78,32 @@
     }
 
     std::size_t tasksThatFit(const work::StepSpecT &step) const;
-    /** Takes @p tasks of @p step into account; a negative number takes them back. */
+    /** Reserves capacity for @p tasks tasks of @p step; a negative number releases it. */
     void reserve(const work::StepSpecT &step, std::int64_t tasks = 1);
 };
 
-/** One step with tasks to place. */
+/** A step with tasks to place. */
 struct PendingStep {
     const workload::Job *job = nullptr;
     workload::StepKey key;
     const work::StepSpecT *step = nullptr;
     const workload::Step *progress = nullptr;
-    /** In time, with nothing left to do, for what is to last: it has no end to meet. */
+    /** The default value (in time, no remaining work) for a lasting step, which has no objective. */
     ObjectiveForecast forecast;
     std::vector<std::uint32_t> tasks;
-    /** A task of its occurrence has been placed before. */
+    /** A task of the same occurrence has been placed before. */
     bool hasStarted = false;
-    /** Data centre that its tasks had best go to. */
+    /** Data centre in which its tasks are kept together. */
     std::uint32_t preferredDataCentre = noDataCentre;
-    /** Data centre for those that don't fit there. */
+    /** Data centre for tasks that don't fit into the preferred one. */
     std::uint32_t fallbackDataCentre = noDataCentre;
 
-    /** Its tasks are best kept together. */
+    /** True for steps whose tasks are kept together: all but lasting and filling ones. */
     bool prefersOneDataCentre() const;
 };
 
-/** How badly the worker suits the step; the unit is a wholly free worker. */
-double penaltyOf(const WorkerCapacity &room, const PendingStep &wanted);
+/** Penalty for placing a task of the step on the worker, in units of a completely free worker; lower is better. */
+double penaltyOf(const WorkerCapacity &worker, const PendingStep &pending);
 
 } // namespace paddlepier::planning
 
--- a/paddlepier/planning/suspectisolation.h
+++ b/paddlepier/planning/suspectisolation.h
@@ -1,19 +1,20 @@
-// Where tasks may be started under which workers were lost.
+// Restricts where tasks are started that may have crashed workers, and delays those that are in backoff.
 //
-// Any task that ran on a lost worker may have taken it down, and most didn't: after the loss of a rack there are hundreds, and
-// none of them may wait for the others. So a suspect starts at once, but where another loss would cost least: on an emptier
-// worker, apart from other suspects, away from what is lasting or begins as a whole. After two losses nothing else is placed on
-// its worker for a while, so that the next loss shows its cause; only a part of the workers is kept apart at a time.
+// Any task that ran on a lost worker may have caused the loss, though most didn't: the loss of a rack leaves hundreds of suspects, and they
+// must not wait for each other. A suspect is therefore started at once, but where another loss would cost least: on an emptier
+// worker, apart from other suspects, away from lasting steps and gangs. After two losses the task's worker gets no other task for a
+// while, so that a further loss identifies the cause; only a part of all workers is isolated at a time.
 //
-// Tasks that workers refuse as invalid pause; so do those that may have cost as many workers as one task may.
+// Held back are tasks that workers rejected as invalid, until their backoff has ended, and tasks that may have caused the loss of the
+// maximum number of workers.
 //
 // Example:
-//     probation.begin(now);
-//     probation.holdBack(now, wanted);
-//     const double cost = penaltyOf(room, wanted) + Probation::penalty(room, task);
-//     probation.noteStart(room, task, step);
+//     isolation.begin(now);
+//     isolation.holdBack(now, pending);
+//     const double cost = penaltyOf(worker, pending) + SuspectIsolation::penalty(worker, task);
+//     isolation.recordStart(worker, task, step);
 //
-// Thread safety: none; owned by the planner. Cost: begin() is O(suspects log runs), the rest O(1).
+// Thread safety: none; owned by the planner. Cost: begin() is O(suspects x log runs), the rest O(1).
 
 #ifndef PADDLEPIER_PLANNING_SUSPECTISOLATION_H
 #define PADDLEPIER_PLANNING_SUSPECTISOLATION_H
@@ -34,24 +35,24 @@
 public:
     SuspectIsolation(const workload::Workload &workloadState,
                      const execution::RunTracks &runTracks,
-                     const execution::TaskBackoff &taskSetbacks,
-                     CapacityIndex &planRooms);
+                     const execution::TaskBackoff &backoff,
+                     CapacityIndex &planIndex);
 
-    /** Begins a plan: marks the rooms in which suspects are proving themselves. */
+    /** Begins a plan: marks the workers on which suspect tasks run unproven. */
     void begin(Timestamp now);
     /**
-     * Takes tasks out that pause, and those that may have cost as many workers as one task may: what became of some of these isn't
-     * known yet. A gang is taken out as a whole.
+     * Removes tasks that are in backoff, and those that may have caused the maximum number of losses, some of which are still unconfirmed.
+     * If one task of a gang is held back, all are.
      */
-    void holdBack(Timestamp now, PendingStep &wanted) const;
-    /** What a loss of the worker would cost besides; 0 for a task that is no suspect. */
-    static double penalty(const WorkerCapacity &room, const workload::Task &task);
-    /** The task is placed there by this plan. */
-    void recordStart(WorkerCapacity &room, const workload::Task &task, const work::StepSpecT &step);
+    void holdBack(Timestamp now, PendingStep &pending) const;
+    /** Penalty for what else a loss of the worker would cost; 0 for a task that isn't suspect. */
+    static double penalty(const WorkerCapacity &worker, const workload::Task &task);
+    /** Records that this plan places the task on the worker. */
+    void recordStart(WorkerCapacity &worker, const workload::Task &task, const work::StepSpecT &step);
 
 private:
-    /** Keeps other work off the room, if the task is to prove itself and few enough rooms are kept so. */
-    void isolate(WorkerCapacity &room, const workload::Task &task, const work::StepSpecT &step);
+    /** Isolates the worker if the task has enough losses and the limit of isolated workers isn't reached. */
+    void isolate(WorkerCapacity &worker, const workload::Task &task, const work::StepSpecT &step);
 
     const workload::Workload &state;
     const execution::RunTracks &tracks;
--- a/paddlepier/planning/waitmonitor.cpp
+++ b/paddlepier/planning/waitmonitor.cpp
@@ -1,4 +1,4 @@
-// Why tasks wait.
+// Finds steps that have waited long without a placement, and the reason why.
 
 #include "paddlepier/planning/waitmonitor.h"
 
@@ -15,51 +15,51 @@
 namespace
 {
 
-/** A wait that lasts is told again after this time. */
-constexpr Duration tellingPause = absl::Seconds(10);
+/** An ongoing wait is reported again after this time. */
+constexpr Duration reportInterval = absl::Seconds(10);
 
-/** Waits that are told at once; a cell that is full for long has hundreds, for the same reason. */
-constexpr std::size_t mostTold = 10;
+/** Waits reported by one call; in a cell that stays full, hundreds of steps wait for the same reason. */
+constexpr std::size_t maxReports = 10;
 
-/** The task fits into the worker while nothing else is there. */
-bool isLargeEnough(const WorkerCapacity &room, const work::StepSpecT &step)
+/** The task would fit into the worker if it ran nothing else. */
+bool isLargeEnough(const WorkerCapacity &worker, const work::StepSpecT &step)
 {
-    const work::Demand &capacity = *room.record->registration.capacity;
+    const work::Demand &capacity = *worker.record->registration.capacity;
     const work::Demand &demand = *step.demand;
     return (step.isFilling || demand.milliProcessors() <= capacity.milliProcessors()) && demand.memoryMegabytes() <= capacity.memoryMegabytes()
            && demand.accelerators() <= capacity.accelerators();
 }
 
-/** Rooms that are left to a task after one condition after the other. */
-class Remaining
+/** The workers that satisfy all conditions applied so far. */
+class RemainingWorkers
 {
 public:
-    explicit Remaining(std::vector<WorkerCapacity> &all)
+    explicit RemainingWorkers(std::vector<WorkerCapacity> &all)
     {
-        for (WorkerCapacity &room : all) {
-            this->rooms.push_back(&room);
+        for (WorkerCapacity &worker : all) {
+            this->workers.push_back(&worker);
         }
     }
 
-    /** @return true if none is left */
+    /** Removes workers that don't satisfy the predicate. @return true if none remains */
     template<typename Predicate>
-    bool isEmptyAfter(Predicate isKept)
+    bool isEmptyAfter(Predicate satisfies)
     {
-        std::erase_if(this->rooms, [&isKept](const WorkerCapacity *room) { return !isKept(*room); });
-        return this->rooms.empty();
+        std::erase_if(this->workers, [&satisfies](const WorkerCapacity *worker) { return !satisfies(*worker); });
+        return this->workers.empty();
     }
 
     std::size_t tasksThatFit(const work::StepSpecT &step) const
     {
         std::size_t tasks = 0;
-        for (const WorkerCapacity *room : this->rooms) {
-            tasks += room->tasksThatFit(step);
+        for (const WorkerCapacity *worker : this->workers) {
+            tasks += worker->tasksThatFit(step);
         }
         return tasks;
     }
 
 private:
-    std::vector<const WorkerCapacity *> rooms;
+    std::vector<const WorkerCapacity *> workers;
 };
 
 } // namespace
@@ -85,15 +85,15 @@
 }
 
 WaitMonitor::WaitMonitor(const workload::Workload &workloadState,
-                         const execution::TaskBackoff &taskSetbacks,
+                         const execution::TaskBackoff &backoff,
                          StepOrder &stepOrder,
-                         CapacityIndex &planRooms,
-                         SuspectIsolation &suspectProbation)
+                         CapacityIndex &planIndex,
+                         SuspectIsolation &suspectIsolation)
     : state(workloadState)
-    , taskBackoff(taskSetbacks)
+    , taskBackoff(backoff)
     , order(stepOrder)
-    , capacityIndex(planRooms)
-    , isolation(suspectProbation)
+    , capacityIndex(planIndex)
+    , isolation(suspectIsolation)
 {
 }
 
@@ -104,7 +104,7 @@
     std::vector<LongWait> waits;
     for (const WaitingStep &waiting : this->order.steps()) {
         StepWait &entry = this->stepWaits.at(waiting.key);
-        if (now - entry.since < longWaitThreshold || now - entry.reportedAt < tellingPause) {
+        if (now - entry.since < longWaitThreshold || now - entry.reportedAt < reportInterval) {
             continue;
         }
         if (waits.empty()) {
@@ -112,10 +112,10 @@
             this->isolation.begin(now);
         }
         entry.reportedAt = now;
-        const PendingStep wanted = StepOrder::pendingStep(waiting, wallMillis);
-        waits.push_back({wanted.key, wanted.tasks.size(), now - entry.since, this->reasonFor(now, wanted)});
-        this->reported[wanted.key] = waits.back();
-        if (waits.size() >= mostTold) {
+        const PendingStep pending = StepOrder::pendingStep(waiting, wallMillis);
+        waits.push_back({pending.key, pending.tasks.size(), now - entry.since, this->reasonFor(now, pending)});
+        this->reported[pending.key] = waits.back();
+        if (waits.size() >= maxReports) {
             break;
         }
     }
@@ -127,16 +127,16 @@
     std::map<workload::StepKey, StepWait> current;
     for (const WaitingStep &waiting : this->order.steps()) {
         const std::size_t tasks = waiting.job->occurrences()[waiting.key.occurrence].steps[waiting.key.step].waitingTasks;
-        const auto known = this->stepWaits.find(waiting.key);
-        const bool goesOn = known != this->stepWaits.end() && tasks >= known->second.tasks;
-        StepWait entry = goesOn ? known->second : StepWait{now};
+        const auto previous = this->stepWaits.find(waiting.key);
+        const bool isContinued = previous != this->stepWaits.end() && tasks >= previous->second.tasks;
+        StepWait entry = isContinued ? previous->second : StepWait{now};
         entry.tasks = tasks;
         current.emplace(waiting.key, entry);
     }
     this->stepWaits = std::move(current);
     std::erase_if(this->reported, [this, now](const auto &entry) {
-        const auto known = this->stepWaits.find(entry.first);
-        return known == this->stepWaits.end() || now - known->second.since < longWaitThreshold;
+        const auto previous = this->stepWaits.find(entry.first);
+        return previous == this->stepWaits.end() || now - previous->second.since < longWaitThreshold;
     });
 }
 
@@ -147,64 +147,65 @@
 }
 
 template<typename Predicate>
-bool WaitMonitor::hasWorkerFor(const PendingStep &wanted, Predicate isCounted) const
+bool WaitMonitor::hasWorkerFor(const PendingStep &pending, Predicate isCounted) const
 {
     const auto &workers = this->state.workers();
-    return std::any_of(workers.begin(), workers.end(), [&wanted, &isCounted](const auto &entry) {
+    return std::any_of(workers.begin(), workers.end(), [&pending, &isCounted](const auto &entry) {
         const workload::Worker &worker = entry.second;
-        const std::string &label = wanted.step->requiredLabel;
-        return worker.registration.service == wanted.job->queue().service && (label.empty() || worker.hasLabel(label)) && isCounted(worker);
+        const std::string &label = pending.step->requiredLabel;
+        return worker.registration.service == pending.job->queue().service && (label.empty() || worker.hasLabel(label)) && isCounted(worker);
     });
 }
 
-WaitReason WaitMonitor::reasonFor(Timestamp now, const PendingStep &wanted)
+WaitReason WaitMonitor::reasonFor(Timestamp now, const PendingStep &pending)
 {
-    const std::uint32_t index = wanted.tasks.front();
-    const workload::TaskKey key(wanted.key.job, wanted.key.occurrence, wanted.key.step, index);
-    const workload::Task &task = wanted.progress->tasks[index];
+    const std::uint32_t index = pending.tasks.front();
+    const workload::TaskKey key(pending.key.job, pending.key.occurrence, pending.key.step, index);
+    const workload::Task &task = pending.progress->tasks[index];
     if (task.possibleLosses() >= workload::maxLosses) {
         return WaitReason::LossesInDoubt;
     }
     if (this->taskBackoff.isBackingOff(now, key)) {
         return WaitReason::Paused;
     }
-    if (tasksWithin(this->state.teams().headroomOf(wanted.job->team()), wanted) == 0) {
+    if (tasksWithin(this->state.teams().headroomOf(pending.job->team()), pending) == 0) {
         return WaitReason::TeamAtQuota;
     }
-    this->capacityIndex.beginStep(now, wanted);
-    const bool needsAdvice = wanted.job->queue().advice != nullptr;
-    const std::uint32_t service = this->capacityIndex.serviceNumber(wanted.job->queue().service);
-    Remaining remaining(this->capacityIndex.all());
-    if (remaining.isEmptyAfter([&](const WorkerCapacity &room) { return mayRun(room, wanted, service); })) {
-        if (!this->hasWorkerFor(wanted, [](const workload::Worker &) { return true; })) {
+    this->capacityIndex.beginStep(now, pending);
+    const bool needsAdvice = pending.job->queue().advice != nullptr;
+    const std::uint32_t service = this->capacityIndex.serviceNumber(pending.job->queue().service);
+    RemainingWorkers remaining(this->capacityIndex.all());
+    if (remaining.isEmptyAfter([&](const WorkerCapacity &worker) { return mayRun(worker, pending, service); })) {
+        if (!this->hasWorkerFor(pending, [](const workload::Worker &) { return true; })) {
             return WaitReason::NoWorker;
         }
-        const bool isElsewhere = this->hasWorkerFor(wanted, [this](const workload::Worker &worker) { return !this->state.isEvacuated(worker); });
-        return isElsewhere ? WaitReason::WorkersUnusable : WaitReason::Evacuated;
+        const bool hasWorkerElsewhere = this->hasWorkerFor(pending, [this](const workload::Worker &worker) { return !this->state.isEvacuated(worker); });
+        return hasWorkerElsewhere ? WaitReason::WorkersUnusable : WaitReason::Evacuated;
     }
-    if (remaining.isEmptyAfter([&](const WorkerCapacity &room) { return !needsAdvice || room.adviceStatus != AdviceStatus::Forbidden; })) {
+    if (remaining.isEmptyAfter([&](const WorkerCapacity &worker) { return !needsAdvice || worker.adviceStatus != AdviceStatus::Forbidden; })) {
         return WaitReason::NotPermitted;
     }
-    if (remaining.isEmptyAfter([&](const WorkerCapacity &room) { return isBelowPerWorkerLimit(room, wanted); })) {
+    if (remaining.isEmptyAfter([&](const WorkerCapacity &worker) { return isBelowPerWorkerLimit(worker, pending); })) {
         return WaitReason::PerWorkerBound;
     }
-    if (remaining.isEmptyAfter([](const WorkerCapacity &room) { return !room.isIsolated; })) {
+    if (remaining.isEmptyAfter([](const WorkerCapacity &worker) { return !worker.isIsolated; })) {
         return WaitReason::KeptApart;
     }
-    if (remaining.isEmptyAfter([&task](const WorkerCapacity &room) { return isTrustedFor(room, task); })) {
+    if (remaining.isEmptyAfter([&task](const WorkerCapacity &worker) { return isTrustedFor(worker, task); })) {
         return WaitReason::WorkersBarred;
     }
-    if (remaining.isEmptyAfter([&key](const WorkerCapacity &room) { return !room.record->superseded.contains(key); })) {
+    if (remaining.isEmptyAfter([&key](const WorkerCapacity &worker) { return !worker.record->superseded.contains(key); })) {
         return WaitReason::CopyUnsettled;
     }
-    if (remaining.isEmptyAfter([&wanted](const WorkerCapacity &room) { return isLargeEnough(room, *wanted.step); })) {
+    if (remaining.isEmptyAfter([&pending](const WorkerCapacity &worker) { return isLargeEnough(worker, *pending.step); })) {
         return WaitReason::TooLarge;
     }
-    const bool hasNone = remaining.isEmptyAfter([&wanted](const WorkerCapacity &room) { return room.fits(*wanted.step); });
-    if (hasNone || (wanted.step->isGang && remaining.tasksThatFit(*wanted.step) < wanted.tasks.size())) {
+    const bool noneFits = remaining.isEmptyAfter([&pending](const WorkerCapacity &worker) { return worker.fits(*pending.step); });
+    if (noneFits || (pending.step->isGang && remaining.tasksThatFit(*pending.step) < pending.tasks.size())) {
         return WaitReason::NoRoom;
     }
-    const bool hasNoTicket = remaining.isEmptyAfter([&](const WorkerCapacity &room) { return !needsAdvice || room.adviceStatus == AdviceStatus::Permitted; });
+    const bool hasNoTicket =
+        remaining.isEmptyAfter([&](const WorkerCapacity &worker) { return !needsAdvice || worker.adviceStatus == AdviceStatus::Permitted; });
     return hasNoTicket ? WaitReason::AdviceAwaited : WaitReason::RoomKept;
 }
 
--- a/paddlepier/planning/waitmonitor.h
+++ b/paddlepier/planning/waitmonitor.h
@@ -1,13 +1,13 @@
-// Why tasks wait: steps of which no task has been placed for long, and what keeps them.
+// Finds steps that have waited long without a placement, and the reason why.
 //
-// A plan passes tasks over without a word, most of them for some milliseconds. One that waits for long is a question of its caller
-// and of the operator, so that the reason is found for it and told: in a line, in a counter, and to who asks for the job.
+// A plan skips steps without logging it, since most of them are placed some milliseconds later. For a long wait the caller and the operator
+// need the reason: it is reported in the log, in a counter, and in the answer to a query for the job.
 //
 // Example:
-//     for (const LongWait &wait : watch.look(now, wallMillis)) { log(wait); }
+//     for (const LongWait &wait : monitor.scan(now, wallMillis)) { log(wait); }
 //
-// Thread safety: none; owned by the planner. Cost: look() is O(waiting steps log of them), and O(workers) for each of the few
-// that are told.
+// Thread safety: none; owned by the planner. Cost: scan() is O(waiting steps x log of their number), and O(workers) for each of the
+// few steps that it reports.
 
 #ifndef PADDLEPIER_PLANNING_WAITMONITOR_H
 #define PADDLEPIER_PLANNING_WAITMONITOR_H
@@ -29,42 +29,45 @@
 namespace paddlepier::planning
 {
 
-/** What keeps the first waiting task of a step, in the order in which it is looked for. Each says how it ends. */
+/**
+ * Why the first waiting task of a step isn't placed, in the order in which the reasons are checked. Each enumerator says when the wait ends.
+ * Their texts, see nameOf(), are part of the outer interface.
+ */
 enum class WaitReason {
-    /** So many workers may have been lost under it that it may cost no more: until they answer, or their end is known. */
+    /** It may have caused the loss of the maximum number of workers: until some of them respond, or the end of their runs is confirmed. */
     LossesInDoubt,
-    /** Workers have refused it as invalid: for some seconds. */
+    /** Backoff after workers rejected it as invalid: some seconds. */
     Paused,
-    /** Its team has placed as much as its quota allows: until runs of the team end, or the quota rises. */
+    /** Its team's quota is used up: until runs of the team end, or the quota is raised. */
     TeamAtQuota,
-    /** No worker of its service has the label that it needs: until one joins. */
+    /** No worker of its service has the required label: until one joins. */
     NoWorker,
-    /** All that have it are in evacuated data centres: until an evacuation is withdrawn, or a worker joins elsewhere. */
+    /** All workers with the label are in evacuated data centres: until an evacuation is withdrawn, or a worker joins elsewhere. */
     Evacuated,
-    /** Those that have it don't answer, drain or are unwell: until they answer, or others join. */
+    /** Workers with the label are unresponsive, draining or temporarily blocked: until they recover, or others join. */
     WorkersUnusable,
-    /** The policy service permits none of those that can be used: until one joins that it permits. */
+    /** The policy service forbids all usable workers: until one joins that it permits. */
     NotPermitted,
-    /** As many tasks of the step are on each as may be: until one of them ends. */
+    /** Each worker runs as many tasks of the step as its limit per worker allows: until one of them ends. */
     PerWorkerBound,
-    /** Suspects are proving themselves there alone: for two seconds each. */
+    /** The workers are isolated for suspect tasks: two seconds for each task. */
     KeptApart,
-    /** Too much has failed there lately: until their time out is over. */
+    /** Too many runs failed on the workers recently: until their suspension has ended. */
     WorkersBarred,
-    /** An earlier run of the task may still be there: until its worker says, or its lease is over. */
+    /** A superseded run of the task may still be on the worker: until the worker reports its end, or its lease expires. */
     CopyUnsettled,
-    /** No worker is as large as the task: until one joins. */
+    /** The task exceeds the total capacity of each worker: until a larger one joins. */
     TooLarge,
-    /** Others have the room, or part of a gang's: until enough of their runs end or make way. */
+    /** Other runs use the capacity that the task, or part of its gang, needs: until enough of them end or are preempted. */
     NoRoom,
-    /** An answer of the policy service is awaited, or was due and didn't come: until it is asked again. */
+    /** An answer of the policy service is pending, or a request got none: until the answer arrives or the request is repeated. */
     AdviceAwaited,
-    /** There is room, and it is kept for a step that goes before: until that one is placed. */
+    /** Capacity is free but reserved for a step that is earlier in the order: until that step is placed. */
     RoomKept
 };
 const char *nameOf(WaitReason reason);
 
-/** Nothing of a step was placed for this long: well beyond what a full cell needs to give room to urgent work. */
+/** A wait without any placement is reported after this time, which is well above the time that urgent work waits in a full cell. */
 constexpr Duration longWaitThreshold = absl::Seconds(10);
 
 struct LongWait {
@@ -78,29 +81,29 @@
 {
 public:
     WaitMonitor(const workload::Workload &workloadState,
-                const execution::TaskBackoff &taskSetbacks,
+                const execution::TaskBackoff &backoff,
                 StepOrder &stepOrder,
-                CapacityIndex &planRooms,
-                SuspectIsolation &suspectProbation);
+                CapacityIndex &planIndex,
+                SuspectIsolation &suspectIsolation);
 
-    /** Steps that have waited for long and weren't told lately, a few at a time; to be called between two plans. */
+    /** Steps with a long wait that weren't reported recently, a limited number for each call; must be called between two plans. */
     std::vector<LongWait> scan(Timestamp now, std::int64_t wallMillis);
-    /** The wait of @p job that was told last and lasts; null if there is none. */
+    /** The ongoing wait of @p job that was reported last; null if there is none. */
     const LongWait *find(const std::string &job) const;
 
 private:
     struct StepWait {
-        /** When a task of it was last placed, or it came to wait. */
+        /** When a task of the step was last placed, or the step started to wait. */
         Timestamp since;
         Timestamp reportedAt = absl::InfinitePast();
         std::size_t tasks = 0;
     };
 
     void updateSteps(Timestamp now);
-    WaitReason reasonFor(Timestamp now, const PendingStep &wanted);
-    /** Workers of the step's service with its label, of which @p isCounted holds. */
+    WaitReason reasonFor(Timestamp now, const PendingStep &pending);
+    /** True if a worker of the step's service has its required label and satisfies @p isCounted. */
     template<typename Predicate>
-    bool hasWorkerFor(const PendingStep &wanted, Predicate isCounted) const;
+    bool hasWorkerFor(const PendingStep &pending, Predicate isCounted) const;
 
     const workload::Workload &state;
     const execution::TaskBackoff &taskBackoff;
@@ -108,7 +111,7 @@
     CapacityIndex &capacityIndex;
     SuspectIsolation &isolation;
     std::map<workload::StepKey, StepWait> stepWaits;
-    // Invariant: its keys are among those of `seen`.
+    // Invariant: its keys are a subset of those of `stepWaits`.
     std::map<workload::StepKey, LongWait> reported;
 };
 
