--- a/paddlepier/planning/advicecache_test.cpp
+++ b/paddlepier/planning/advicecache_test.cpp
@@ -1,4 +1,4 @@
-// How long tickets of the policy service are used.
+// How long tickets of the policy service are treated as valid.
 
 #include "paddlepier/planning/advicecache.h"
 
@@ -10,54 +10,54 @@
 namespace
 {
 
-class AdviceBookFixture
+class AdviceCacheFixture
 {
 public:
-    AdviceBookFixture()
+    AdviceCacheFixture()
     {
         this->policy.decisionMillis = 50;
         this->policy.perWorkerMillis = 10;
         this->policy.validMillis = 2000;
     }
 
-    /** Asks about one worker, which takes the service 60 ms, and takes the answer after @p delay. */
-    void askAndAnswer(Duration delay)
+    /** Makes a request about one worker, which takes the service 60 ms, and records the answer after @p delay. */
+    void requestAndAnswer(Duration delay)
     {
-        const execution::AdviceRequest question = this->book.request(this->now, this->step, "queue", {this->worker}, this->policy);
+        const execution::AdviceRequest request = this->cache.request(this->now, this->step, "queue", {this->worker}, this->policy);
         this->now += delay;
         execution::AdviceAnswer answer;
         answer.isAnswered = true;
         answer.tickets.emplace_back().worker = this->worker.id;
-        this->book.recordAnswer(this->now, question.id, answer);
+        this->cache.recordAnswer(this->now, request.id, answer);
     }
 
     bool hasTicketAt(Timestamp at) const
     {
-        return this->book.validTicket(at, this->step, this->worker) != nullptr;
+        return this->cache.validTicket(at, this->step, this->worker) != nullptr;
     }
 
     const workload::StepKey step{"job", 0, 0};
     const workload::Incarnation worker{"w1", 1};
     work::AdvicePolicyT policy;
     Timestamp now = absl::UnixEpoch() + absl::Hours(1);
-    AdviceCache book;
+    AdviceCache cache;
 };
 
 } // namespace
 
-TEST_CASE_METHOD(AdviceBookFixture, "ticket_ofAnAnswerThatWasLongOnItsWay_endsAsIfItHadComeAtOnce")
+TEST_CASE_METHOD(AdviceCacheFixture, "ticket_ofADelayedAnswer_expiresAsIfItHadArrivedImmediately")
 {
-    const Timestamp asked = this->now;
-    this->askAndAnswer(absl::Milliseconds(700));
+    const Timestamp requestedAt = this->now;
+    this->requestAndAnswer(absl::Milliseconds(700));
     CHECK(this->hasTicketAt(this->now));
-    // The service gave it after 60 ms at the earliest, and 250 ms are left for the order.
-    CHECK(this->hasTicketAt(asked + absl::Milliseconds(1800)));
-    CHECK_FALSE(this->hasTicketAt(asked + absl::Milliseconds(1820)));
+    // The service issued the ticket after 60 ms at the earliest, and the last 250 ms are left for the order.
+    CHECK(this->hasTicketAt(requestedAt + absl::Milliseconds(1800)));
+    CHECK_FALSE(this->hasTicketAt(requestedAt + absl::Milliseconds(1820)));
 }
 
-TEST_CASE_METHOD(AdviceBookFixture, "ticket_ofAnAnswerThatCameEarly_countsFromTheAnswer")
+TEST_CASE_METHOD(AdviceCacheFixture, "ticket_ofAnEarlyAnswer_isValidFromTheAnswer")
 {
-    this->askAndAnswer(absl::Milliseconds(20));
+    this->requestAndAnswer(absl::Milliseconds(20));
     CHECK(this->hasTicketAt(this->now + absl::Milliseconds(1740)));
     CHECK_FALSE(this->hasTicketAt(this->now + absl::Milliseconds(1760)));
 }
--- a/paddlepier/planning/capacityindex_test.cpp
+++ b/paddlepier/planning/capacityindex_test.cpp
@@ -1,4 +1,4 @@
-// Rooms that are kept from plan to plan: they are what a reading of the whole cell finds, and cost what has changed.
+// The incrementally maintained capacity index equals one built from scratch, and its cost depends on what has changed.
 
 #include "paddlepier/planning/capacityindex.h"
 
@@ -16,58 +16,58 @@
 namespace
 {
 
-class RoomsFixture
+class CapacityIndexFixture
 {
 public:
-    explicit RoomsFixture(std::uint32_t workers = 60)
+    explicit CapacityIndexFixture(std::uint32_t workers = 60)
         : cell(7, workers)
-        , kept(this->cell.state, this->cell.views, this->cell.advice)
+        , index(this->cell.state, this->cell.views, this->cell.advice)
     {
         this->cell.fill(std::size_t{6} * workers);
-        this->kept.refresh(this->cell.now);
+        this->index.refresh(this->cell.now);
     }
 
-    /** What a plan may go by, one line for each worker, in the order of their names. */
-    std::vector<std::string> linesOf(CapacityIndex &rooms)
+    /** The state that a plan may use, as one line for each worker, sorted by name. */
+    std::vector<std::string> linesOf(CapacityIndex &capacityIndex)
     {
         std::vector<std::string> lines;
-        for (const auto &[life, worker] : this->cell.state.workers()) {
-            const WorkerCapacity *room = rooms.find(life);
-            lines.push_back(room == nullptr ? life.text() + " unusable"
-                                            : absl::StrCat(life.text(),
-                                                           " ",
-                                                           room->freeProcessors,
-                                                           " ",
-                                                           room->freeMemory,
-                                                           " ",
-                                                           room->releasingProcessors,
-                                                           " ",
-                                                           room->isOnProbation ? "probation " : "",
-                                                           room->adviceStatus == AdviceStatus::NotRequested ? "" : "told of an earlier step ",
-                                                           room->isIsolated || room->suspectRuns > 0 || room->isCountedForStep ? "of an earlier plan " : "",
-                                                           std::string(rooms.dataCentreName(room->dataCentre))));
+        for (const auto &[incarnation, worker] : this->cell.state.workers()) {
+            const WorkerCapacity *entry = capacityIndex.find(incarnation);
+            lines.push_back(entry == nullptr ? incarnation.text() + " unusable"
+                                             : absl::StrCat(incarnation.text(),
+                                                            " ",
+                                                            entry->freeProcessors,
+                                                            " ",
+                                                            entry->freeMemory,
+                                                            " ",
+                                                            entry->releasingProcessors,
+                                                            " ",
+                                                            entry->isOnProbation ? "probation " : "",
+                                                            entry->adviceStatus == AdviceStatus::NotRequested ? "" : "advice of an earlier step ",
+                                                            entry->isIsolated || entry->suspectRuns > 0 || entry->isCountedForStep ? "of an earlier plan " : "",
+                                                            std::string(capacityIndex.dataCentreName(entry->dataCentre))));
         }
         for (const char *name : {"d0", "d1", "d2", "d3"}) {
-            lines.push_back(absl::StrCat(name, rooms.isHealthy(rooms.dataCentreNamed(name)) ? " sound" : " unsound"));
+            lines.push_back(absl::StrCat(name, capacityIndex.isHealthy(capacityIndex.dataCentreNamed(name)) ? " healthy" : " unhealthy"));
         }
         return lines;
     }
 
-    std::vector<std::string> linesReadAnew()
+    std::vector<std::string> linesBuiltFromScratch()
     {
-        CapacityIndex anew(this->cell.state, this->cell.views, this->cell.advice);
-        anew.refresh(this->cell.now);
-        return this->linesOf(anew);
+        CapacityIndex rebuilt(this->cell.state, this->cell.views, this->cell.advice);
+        rebuilt.refresh(this->cell.now);
+        return this->linesOf(rebuilt);
     }
 
-    workload::Incarnation anyWorker()
+    workload::Incarnation randomWorker()
     {
         auto worker = this->cell.state.workers().begin();
         std::advance(worker, static_cast<std::ptrdiff_t>(this->cell.random() % this->cell.state.workers().size()));
         return worker->first;
     }
 
-    void join(const std::string &id, const std::string &dataCentre)
+    void addWorker(const std::string &id, const std::string &dataCentre)
     {
         work::RegisterWorkerT registration;
         registration.id = id;
@@ -77,26 +77,26 @@
         registration.capacity = std::make_unique<work::Demand>(16'000, 65'536, 0);
         auto &view = this->cell.views.try_emplace(workload::incarnationOf(registration), this->cell.now, absl::Seconds(10)).first->second;
         view.recordAnswer(this->cell.now, 1000);
-        this->kept.markViewChanged(workload::incarnationOf(registration));
+        this->index.markViewChanged(workload::incarnationOf(registration));
         this->cell.apply(std::move(registration));
     }
 
-    void leave(const workload::Incarnation &life)
+    void removeWorker(const workload::Incarnation &incarnation)
     {
         for (auto track = this->cell.tracks.begin(); track != this->cell.tracks.end();) {
-            track = track->second.worker == life ? this->cell.tracks.erase(track) : std::next(track);
+            track = track->second.worker == incarnation ? this->cell.tracks.erase(track) : std::next(track);
         }
         work::RemoveWorkerT command;
-        command.id = life.id;
-        command.born = life.born;
+        command.id = incarnation.id;
+        command.born = incarnation.born;
         this->cell.apply(std::move(command));
-        this->cell.views.erase(life);
+        this->cell.views.erase(incarnation);
     }
 
-    /** Something that happens to one worker's view. */
-    void changeView(const workload::Incarnation &life)
+    /** Applies a random event to one worker's view. */
+    void changeView(const workload::Incarnation &incarnation)
     {
-        execution::WorkerView &view = this->cell.views.at(life);
+        execution::WorkerView &view = this->cell.views.at(incarnation);
         switch (this->cell.random() % 5) {
         case 0:
             view.recordFailedCall(this->cell.now);
@@ -113,33 +113,33 @@
         default:
             view.startsBlockedUntil = this->cell.now + absl::Milliseconds(30);
         }
-        this->kept.markViewChanged(life);
+        this->index.markViewChanged(incarnation);
     }
 
     FakeCell cell;
-    CapacityIndex kept;
+    CapacityIndex index;
 };
 
-class LargeRoomsFixture : public RoomsFixture
+class LargeCapacityIndexFixture : public CapacityIndexFixture
 {
 public:
-    LargeRoomsFixture()
-        : RoomsFixture(1500)
+    LargeCapacityIndexFixture()
+        : CapacityIndexFixture(1500)
     {
     }
 };
 
 } // namespace
 
-TEST_CASE_METHOD(RoomsFixture, "rooms_throughAllThatHappensToWorkers_areWhatAReadingOfTheCellFinds")
+TEST_CASE_METHOD(CapacityIndexFixture, "capacityIndex_afterRandomWorkerEvents_equalsOneBuiltFromScratch")
 {
     for (int round = 0; round < 400; ++round) {
         this->cell.advance(absl::Milliseconds(10));
         const std::uint64_t event = this->cell.random() % 40;
         if (event == 0) {
-            this->join(absl::StrCat("new-", round), absl::StrCat("d", round % 4));
+            this->addWorker(absl::StrCat("new-", round), absl::StrCat("d", round % 4));
         } else if (event == 1) {
-            this->leave(this->anyWorker());
+            this->removeWorker(this->randomWorker());
         } else if (event == 2) {
             work::ChangeEvacuationT command;
             command.dataCentre = "d1";
@@ -151,67 +151,67 @@
             this->cell.execute(this->cell.plan());
             this->cell.addWaitingSteps(2);
         } else {
-            this->changeView(this->anyWorker());
+            this->changeView(this->randomWorker());
         }
-        // A plan takes room and marks workers; none of that is left to the next one.
-        this->kept.refresh(this->cell.now);
-        REQUIRE(this->linesOf(this->kept) == this->linesReadAnew());
-        WorkerCapacity &room = this->kept.all()[this->cell.random() % this->kept.all().size()];
-        if (room.isUsable && !this->cell.state.waitingJobs().empty()) {
+        // A plan reserves capacity and marks workers; the next refresh must undo both.
+        this->index.refresh(this->cell.now);
+        REQUIRE(this->linesOf(this->index) == this->linesBuiltFromScratch());
+        WorkerCapacity &entry = this->index.all()[this->cell.random() % this->index.all().size()];
+        if (entry.isUsable && !this->cell.state.waitingJobs().empty()) {
             const workload::Job &job = *this->cell.state.findJob(*this->cell.state.waitingJobs().begin());
-            PendingStep wanted;
-            wanted.job = &job;
-            wanted.key = {job.id(), 0, 0};
-            wanted.step = &job.stepSpec(0);
-            wanted.progress = &job.occurrences()[0].steps[0];
-            this->kept.beginStep(this->cell.now, wanted);
-            this->kept.countTask(room, 1);
-            this->kept.markModified(room);
-            room.releasingProcessors += 500;
-            room.isIsolated = true;
+            PendingStep pending;
+            pending.job = &job;
+            pending.key = {job.id(), 0, 0};
+            pending.step = &job.stepSpec(0);
+            pending.progress = &job.occurrences()[0].steps[0];
+            this->index.beginStep(this->cell.now, pending);
+            this->index.countTask(entry, 1);
+            this->index.markModified(entry);
+            entry.releasingProcessors += 500;
+            entry.isIsolated = true;
         }
     }
 }
 
-TEST_CASE_METHOD(RoomsFixture, "workerWhoseChangeNobodyTold_isReadInTurn")
+TEST_CASE_METHOD(CapacityIndexFixture, "worker_changedWithoutAMark_isReadRoundRobin")
 {
-    const workload::Incarnation life = this->anyWorker();
-    this->cell.views.at(life).recordAnswer(this->cell.now, std::nullopt);
-    this->kept.markViewChanged(life);
-    this->kept.refresh(this->cell.now);
-    const bool wasUsable = this->kept.find(life) != nullptr;
-    this->cell.views.at(life).recordFailedCall(this->cell.now);
+    const workload::Incarnation incarnation = this->randomWorker();
+    this->cell.views.at(incarnation).recordAnswer(this->cell.now, std::nullopt);
+    this->index.markViewChanged(incarnation);
+    this->index.refresh(this->cell.now);
+    const bool wasUsable = this->index.find(incarnation) != nullptr;
+    this->cell.views.at(incarnation).recordFailedCall(this->cell.now);
     for (std::size_t plan = 0; plan < this->cell.state.workers().size(); ++plan) {
-        this->kept.refresh(this->cell.now);
+        this->index.refresh(this->cell.now);
     }
     CHECK(wasUsable);
-    CHECK(this->kept.find(life) == nullptr);
+    CHECK(this->index.find(incarnation) == nullptr);
 }
 
-TEST_CASE_METHOD(LargeRoomsFixture, "changeOfAFewWorkers_isReadWithoutTheOthers")
+TEST_CASE_METHOD(LargeCapacityIndexFixture, "refresh_afterChangesOfAFewWorkers_readsFewOthers")
 {
-    const std::uint64_t before = this->kept.reads();
+    const std::uint64_t before = this->index.reads();
     for (int round = 0; round < 10; ++round) {
-        this->kept.markViewChanged(this->anyWorker());
-        this->kept.refresh(this->cell.now);
+        this->index.markViewChanged(this->randomWorker());
+        this->index.refresh(this->cell.now);
     }
-    // One that has changed, and a 128th of the others in turn.
-    CHECK(this->kept.reads() - before <= std::uint64_t{10} * (1 + 1500 / 100));
+    // One changed worker, and one in 128 of the others, read round-robin.
+    CHECK(this->index.reads() - before <= std::uint64_t{10} * (1 + 1500 / 100));
 }
 
-TEST_CASE_METHOD(LargeRoomsFixture, "sizeThatFitsNowhere_isLookedForOnceAPlan")
+TEST_CASE_METHOD(LargeCapacityIndexFixture, "taskSize_thatFitsNowhere_isSearchedOnceAPlan")
 {
     work::StepSpecT step;
     step.demand = std::make_unique<work::Demand>(100'000, 100, 0);
-    CHECK_FALSE(this->kept.hasCapacityFor("pool", step));
+    CHECK_FALSE(this->index.hasCapacityFor("pool", step));
     step.demand = std::make_unique<work::Demand>(120'000, 200, 0);
-    CHECK_FALSE(this->kept.hasCapacityFor("pool", step));
-    CHECK_FALSE(this->kept.hasCapacityFor("none", step));
+    CHECK_FALSE(this->index.hasCapacityFor("pool", step));
+    CHECK_FALSE(this->index.hasCapacityFor("none", step));
     step.demand = std::make_unique<work::Demand>(100, 100, 0);
-    CHECK(this->kept.hasCapacityFor("pool", step));
+    CHECK(this->index.hasCapacityFor("pool", step));
     step.isFilling = true;
     step.demand = std::make_unique<work::Demand>(100'000, 100, 0);
-    CHECK(this->kept.hasCapacityFor("pool", step));
+    CHECK(this->index.hasCapacityFor("pool", step));
 }
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/fakecell.h
+++ b/paddlepier/planning/fakecell.h
@@ -1,8 +1,8 @@
-// A cell of workers with runs under way and steps that wait, made from a seed, for tests and benchmarks of the planner.
+// A cell of workers with current runs and waiting steps, generated from a seed, for tests and benchmarks of the planner.
 //
 // It has queues of each kind: quick work that needs advice and may preempt, long work with checkpoints that needs advice,
-// lasting and filling work, and work that needs no advice. Some workers fail, drain or answer late; some steps are gangs, keep
-// apart, want a label or a rack, or have superseded runs. The same seed gives the same cell.
+// lasting and filling work, and work that needs no advice. Some workers fail, drain or answer late; some steps are gangs, have a limit
+// per worker, require a label, prefer a rack, or have superseded runs. The same seed gives the same cell.
 //
 // Example:
 //     FakeCell cell(seed, 350);
@@ -44,7 +44,7 @@
         this->typicalRatios["long"] = 1.4;
     }
 
-    /** Submits jobs and puts their tasks anywhere with room until @p runs are under way, or room is short. */
+    /** Submits jobs and places their tasks on random workers with free capacity until @p runs are placed or attempts are used up. */
     void fill(std::size_t runs)
     {
         std::size_t placed = 0;
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Adds jobs with steps to place; of those that need advice some have tickets, some wait for an answer. */
+    /** Adds jobs with steps to place; of those that need advice, some have tickets and some have a pending request. */
     void addWaitingSteps(std::size_t steps)
     {
         for (std::size_t number = 0; number < steps; ++number) {
@@ -64,12 +64,12 @@
             if (!job.queue().advice || kind == 0) {
                 continue;
             }
-            const std::uint64_t question = this->request(job);
+            const std::uint64_t requestId = this->request(job);
             if (kind == 1) {
-                this->answer(question);
+                this->answer(requestId);
             }
         }
-        // Some of the tickets are over.
+        // Some of the tickets expire meanwhile.
         this->advance(absl::Milliseconds(40));
     }
 
@@ -78,7 +78,7 @@
         return this->planner.plan(this->now, this->wallMillis);
     }
 
-    /** Carries a plan out: places, stops, and answers some of its questions. */
+    /** Executes a plan: places and stops runs, and answers some of its advice requests. */
     void execute(const Plan &plan)
     {
         for (const auto &[key, servedStep] : plan.preemptions) {
@@ -89,21 +89,21 @@
             command.placements.push_back(std::make_unique<work::PlacementT>(placement));
         }
         this->place(std::move(command));
-        for (const execution::AdviceRequest &question : plan.adviceRequests) {
-            this->pendingQuestions[question.id] = question.workers;
+        for (const execution::AdviceRequest &request : plan.adviceRequests) {
+            this->pendingRequests[request.id] = request.workers;
             if (this->chance(0.5)) {
-                this->answer(question.id);
+                this->answer(request.id);
             }
         }
     }
 
-    /** Answers all questions that await it. */
+    /** Answers all pending requests. */
     void answerAll()
     {
-        for (const auto &[question, workers] : this->pendingQuestions) {
-            this->answer(question);
+        for (const auto &[requestId, workers] : this->pendingRequests) {
+            this->answer(requestId);
         }
-        this->pendingQuestions.clear();
+        this->pendingRequests.clear();
     }
 
     void advance(Duration duration)
@@ -112,7 +112,7 @@
         this->wallMillis += absl::ToInt64Milliseconds(duration);
     }
 
-    /** Ends some of the runs under way. */
+    /** Ends each current run with probability @p share. */
     void endRuns(double share)
     {
         std::vector<std::pair<workload::TaskKey, execution::RunTrack>> ended;
@@ -161,9 +161,9 @@
         return static_cast<double>(this->random() % 1000) < 1000 * share;
     }
 
-    std::uint32_t uniform(std::uint32_t least, std::uint32_t most)
+    std::uint32_t uniform(std::uint32_t minimum, std::uint32_t maximum)
     {
-        return least + static_cast<std::uint32_t>(this->random() % (most - least + 1));
+        return minimum + static_cast<std::uint32_t>(this->random() % (maximum - minimum + 1));
     }
 
     void addQueue(work::ChangeConfigurationT &configuration, const std::string &name, std::uint32_t priority, double decisionMillis)
@@ -250,7 +250,7 @@
     {
         this->advance(absl::Milliseconds(isWaiting ? 5 : 1));
         work::SubmitJobT command;
-        // Ids against the order of age, as random ones are.
+        // Random IDs don't sort by age.
         command.id = absl::StrCat(absl::Hex(this->random(), absl::kZeroPad16));
         command.queue = queue;
         command.spec = std::make_unique<work::JobSpecT>();
@@ -265,14 +265,14 @@
         return id;
     }
 
-    /** One with room, if a few tries find one. */
+    /** A random worker with free capacity, or any worker if a few tries find none. */
     std::string randomWorkerFor(const work::StepSpecT &step)
     {
         constexpr int mostTries = 12;
         if (this->incarnations.size() != this->state.workers().size()) {
             this->incarnations.clear();
-            for (const auto &[life, worker] : this->state.workers()) {
-                this->incarnations.push_back(life);
+            for (const auto &[incarnation, worker] : this->state.workers()) {
+                this->incarnations.push_back(incarnation);
             }
         }
         const workload::Incarnation *chosen = nullptr;
@@ -322,32 +322,32 @@
     std::uint64_t request(const workload::Job &job)
     {
         std::vector<workload::Incarnation> workers;
-        for (const auto &[life, worker] : this->state.workers()) {
+        for (const auto &[incarnation, worker] : this->state.workers()) {
             if (this->chance(24.0 / static_cast<double>(this->state.workers().size()))) {
-                workers.push_back(life);
+                workers.push_back(incarnation);
             }
         }
-        const execution::AdviceRequest question = this->advice.request(this->now, {job.id(), 0, 0}, job.queue().name, workers, *job.queue().advice);
-        this->pendingQuestions[question.id] = workers;
-        return question.id;
+        const execution::AdviceRequest adviceRequest = this->advice.request(this->now, {job.id(), 0, 0}, job.queue().name, workers, *job.queue().advice);
+        this->pendingRequests[adviceRequest.id] = workers;
+        return adviceRequest.id;
     }
 
-    void answer(std::uint64_t question)
+    void answer(std::uint64_t requestId)
     {
         execution::AdviceAnswer answer;
         answer.isAnswered = this->chance(0.9);
-        for (const workload::Incarnation &worker : this->pendingQuestions[question]) {
+        for (const workload::Incarnation &worker : this->pendingRequests[requestId]) {
             if (this->chance(0.6)) {
                 answer.tickets.emplace_back();
                 answer.tickets.back().worker = worker.id;
                 answer.tickets.back().ticket = "ticket";
             }
         }
-        this->advice.recordAnswer(this->now, question, answer);
+        this->advice.recordAnswer(this->now, requestId, answer);
     }
 
-    std::map<std::uint64_t, std::vector<workload::Incarnation>> pendingQuestions;
-    /** Of all workers, in the order of the ledger. */
+    std::map<std::uint64_t, std::vector<workload::Incarnation>> pendingRequests;
+    /** Incarnations of all workers, in the order of the ledger. */
     std::vector<workload::Incarnation> incarnations;
 };
 
--- a/paddlepier/planning/loadpatterns.h
+++ b/paddlepier/planning/loadpatterns.h
@@ -1,4 +1,4 @@
-// Load patterns that are hard to serve, for replays: which jobs come how often, on which workers, and what is cut off.
+// Load patterns for replays that are hard to schedule: job kinds with their arrival rates, workers, and network partitions.
 //
 // Example:
 //     LoadReplay replay(seed, quickBesideLongPattern(1.0));
@@ -19,7 +19,7 @@
 namespace paddlepier::planning
 {
 
-/** One kind of job: a queue and what its jobs are made of. Spreads are uniform. */
+/** One kind of job: its queue, and the sizes and durations of its jobs, which are uniformly distributed between minimum and maximum. */
 struct LoadKind {
     std::string queue;
     std::uint32_t priority = 0;
@@ -30,21 +30,21 @@
     std::uint32_t maxTasks = 1;
     std::uint32_t milliProcessors = 1000;
     std::uint32_t memoryMegabytes = 100;
-    /** One of these for each job. */
+    /** Each job picks one of these values at random. */
     std::vector<std::uint32_t> accelerators{0};
     std::uint32_t minMillis = 500;
     std::uint32_t maxMillis = 1500;
     bool isGang = false;
-    /** Share of jobs that save their progress. */
+    /** Share of jobs that save checkpoints. */
     double checkpointingShare = 0;
-    /** Time of an answer of the policy service, for the question and for each worker named; 0 for none. */
+    /** Time of the policy service for each request and for each worker that it names; 0 if the queue needs no advice. */
     double decisionMillis = 0;
     double perWorkerMillis = 0;
-    /** Share of workers that may run a job. */
+    /** Share of workers that the policy service permits for a job. */
     double permittedShare = 1;
 };
 
-/** A data centre whose workers can't be reached for a while, and go on with what they run. */
+/** A period in which the workers of a data centre can't be reached; they continue their runs. */
 struct NetworkPartition {
     std::uint32_t dataCentre = 0;
     Duration start = absl::InfiniteDuration();
@@ -59,13 +59,13 @@
     std::uint32_t accelerators = 8;
     std::vector<LoadKind> kinds;
     NetworkPartition partition;
-    /** Instances that can ask the policy service, one question at a time each. */
+    /** Instances that can call the policy service, each with one request at a time. */
     std::size_t adviceInstances = std::numeric_limits<std::size_t>::max();
 };
 
 /**
- * Workers of 16 processors in five data centres, seven tenths of them in use at @p load 1: quick jobs of many tasks whose callers wait in one
- * of the data centres, and long jobs that save their progress beside them.
+ * Workers of 16 processors in five data centres, 70 % utilized at @p load 1: quick jobs of many tasks whose callers wait in one
+ * of the data centres, beside long jobs that save checkpoints.
  */
 inline LoadPattern quickBesideLongPattern(double load)
 {
@@ -97,19 +97,19 @@
     longJobs.decisionMillis = 430;
     longJobs.perWorkerMillis = 6.1;
     longJobs.permittedShare = 0.7;
-    LoadPattern made;
-    made.workers = 350;
-    made.dataCentres = 5;
-    made.milliProcessors = 16'000;
-    made.memoryMegabytes = 32'768;
-    made.accelerators = 0;
-    made.kinds = {quick, longJobs};
-    return made;
+    LoadPattern pattern;
+    pattern.workers = 350;
+    pattern.dataCentres = 5;
+    pattern.milliProcessors = 16'000;
+    pattern.memoryMegabytes = 32'768;
+    pattern.accelerators = 0;
+    pattern.kinds = {quick, longJobs};
+    return pattern;
 }
 
 /**
- * Workers of 32 processors and long jobs of many large tasks, most of which save their progress; at @p load 1 they take about as much as
- * the workers have. The policy service takes a seventh of a task's time for each question, and permits a third of the workers.
+ * Workers of 32 processors and long jobs of many large tasks, most of which save checkpoints; at @p load 1 their demand about equals the
+ * capacity. Each request takes the policy service a seventh of a task's duration, and it permits a third of the workers.
  */
 inline LoadPattern longJobsPattern(double load)
 {
@@ -129,19 +129,19 @@
     longJobs.decisionMillis = 494;
     longJobs.perWorkerMillis = 7.15;
     longJobs.permittedShare = 0.35;
-    LoadPattern made;
-    made.workers = 64;
-    made.dataCentres = 3;
-    made.milliProcessors = 32'000;
-    made.memoryMegabytes = 65'536;
-    made.accelerators = 0;
-    made.kinds = {longJobs};
-    return made;
+    LoadPattern pattern;
+    pattern.workers = 64;
+    pattern.dataCentres = 3;
+    pattern.milliProcessors = 32'000;
+    pattern.memoryMegabytes = 65'536;
+    pattern.accelerators = 0;
+    pattern.kinds = {longJobs};
+    return pattern;
 }
 
 /**
- * Accelerators at some 80 % use if @p load is 1: gangs of one or two tasks that need two, four or all eight accelerators of a worker, and
- * many small tasks of less urgent jobs that need one.
+ * Accelerators at about 80 % utilization at @p load 1: gangs of one or two tasks that need two, four or all eight accelerators of a worker,
+ * and many small tasks of less urgent jobs that need one.
  */
 inline LoadPattern wideTasksPattern(double load)
 {
@@ -178,15 +178,15 @@
     small.decisionMillis = 140;
     small.perWorkerMillis = 2;
     small.permittedShare = 0.45;
-    LoadPattern made;
-    made.workers = 13;
-    made.kinds = {wide, small};
-    return made;
+    LoadPattern pattern;
+    pattern.workers = 13;
+    pattern.kinds = {wide, small};
+    return pattern;
 }
 
 /**
- * Workers of 16 processors, four fifths of them in use at @p load 1: many quick jobs, gangs of many large tasks, and jobs of many small ones
- * that save their progress. Above that thousands of tasks wait, and the policy service has few who ask it.
+ * Workers of 16 processors, 80 % utilized at @p load 1: many quick jobs, gangs of many large tasks, and jobs of many small tasks
+ * that save checkpoints. At a higher load thousands of tasks wait while few instances call the policy service.
  */
 inline LoadPattern backlogPattern(double load)
 {
@@ -236,15 +236,15 @@
     quick.decisionMillis = 11.7;
     quick.perWorkerMillis = 0.17;
     quick.permittedShare = 0.7;
-    LoadPattern made;
-    made.workers = 350;
-    made.dataCentres = 3;
-    made.milliProcessors = 16'000;
-    made.memoryMegabytes = 65'536;
-    made.accelerators = 0;
-    made.kinds = {gangs, wide, quick};
-    made.adviceInstances = 46;
-    return made;
+    LoadPattern pattern;
+    pattern.workers = 350;
+    pattern.dataCentres = 3;
+    pattern.milliProcessors = 16'000;
+    pattern.memoryMegabytes = 65'536;
+    pattern.accelerators = 0;
+    pattern.kinds = {gangs, wide, quick};
+    pattern.adviceInstances = 46;
+    return pattern;
 }
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/loadreplay.h
+++ b/paddlepier/planning/loadreplay.h
@@ -1,16 +1,16 @@
-// Replays a load pattern through the real planner, advice book and ledger in virtual time, for tests and benchmarks.
+// Replays a load pattern through the real planner, advice cache and ledger in virtual time, for tests and benchmarks.
 //
-// Jobs of several kinds arrive at random moments of a seeded generator. Workers run what is placed for as long as it takes,
-// save progress while they do, and take a while to stop; the policy service answers after its stated time and permits
-// some of the workers. Nothing fails; a data centre may be cut off for a while, and what ends there is then heard of after the
-// cut. What is measured is the decisions alone. The same seed and pattern give the same replay.
+// Jobs of several kinds arrive at random times from a seeded generator. Workers execute placed runs for the duration of their work,
+// save checkpoints meanwhile, and take some time to stop; the policy service answers after its stated time and permits
+// some of the workers. No run fails; a data centre may be partitioned for a while, and runs that end there are reported after the
+// partition. Results therefore depend on planning decisions only. The same seed and pattern give the same replay.
 //
 // Example:
 //     LoadReplay replay(seed, pattern);
 //     replay.run(absl::Seconds(60));
 //     CHECK(replay.wait("wide", 0.95) < absl::Seconds(3));
 //
-// Thread safety: none. Cost: a plan for every step of virtual time.
+// Thread safety: none. Cost: one plan for every tick of virtual time.
 
 #ifndef PADDLEPIER_PLANNING_LOADREPLAY_H
 #define PADDLEPIER_PLANNING_LOADREPLAY_H
@@ -38,9 +38,9 @@
 {
 public:
     static constexpr Duration tick = absl::Milliseconds(10);
-    /** From the order to stop until the end is listed. */
+    /** Time from the order to stop a run until its end is reported. */
     static constexpr Duration stopTime = absl::Milliseconds(250);
-    /** A worker lists progress this often, and saves it. */
+    /** Interval at which a worker reports and saves progress. */
     static constexpr Duration pollInterval = absl::Milliseconds(500);
     static constexpr Duration restoreTime = absl::Milliseconds(600);
     static constexpr std::uint32_t ticketMillis = 2000;
@@ -65,13 +65,13 @@
             this->submitArrivals();
             this->applyPartition();
             this->endRuns();
-            this->answerQuestions();
+            this->answerRequests();
             this->reportProgress();
             this->execute(this->planner.plan(this->now, this->wallMillis(), this->budget()));
         }
     }
 
-    /** Time from the submission of a job to its first start, at a quantile over the queue's jobs; those that wait count with their wait. */
+    /** Quantile of the time from a job's submission to its first start, over the queue's jobs; waiting jobs count with their wait so far. */
     Duration wait(const std::string &queue, double quantile) const
     {
         std::vector<Duration> waits;
@@ -84,7 +84,7 @@
         return waits.empty() ? absl::ZeroDuration() : waits[std::min(waits.size() - 1, static_cast<std::size_t>(quantile * static_cast<double>(waits.size())))];
     }
 
-    /** Share of the queue's jobs that ended within their objective; those that may still make it don't count. */
+    /** Share of the queue's jobs that ended within their objective; jobs that haven't ended and can still meet it don't count. */
     double inTimeShare(const std::string &queue) const
     {
         double met = 0;
@@ -98,33 +98,33 @@
         return met + missed == 0 ? 1.0 : met / (met + missed);
     }
 
-    /** The same for jobs that were submitted in a span of the replay's time. */
+    /** The same for jobs submitted in the interval [from, to) of replay time; jobs that haven't ended count as missed. */
     double inTimeShare(const std::string &queue, Duration from, Duration to) const
     {
         double met = 0;
         double all = 0;
         for (const auto &[id, job] : this->jobs) {
-            const bool isMeant = job.queue == queue && job.submittedAt >= this->begin + from && job.submittedAt < this->begin + to;
-            all += isMeant ? 1 : 0;
-            met += isMeant && job.endedAt <= job.objective ? 1 : 0;
+            const bool isSelected = job.queue == queue && job.submittedAt >= this->begin + from && job.submittedAt < this->begin + to;
+            all += isSelected ? 1 : 0;
+            met += isSelected && job.endedAt <= job.objective ? 1 : 0;
         }
         return all == 0 ? 1.0 : met / all;
     }
 
-    /** Mean number of data centres in which the tasks of a job of the queue have run. */
+    /** Mean number of data centres in which tasks of one job of the queue ran. */
     double meanDataCentresPerJob(const std::string &queue) const
     {
         double touched = 0;
         double started = 0;
         for (const auto &[id, job] : this->jobs) {
-            const bool isMeant = job.queue == queue && !job.dataCentres.empty();
-            started += isMeant ? 1 : 0;
-            touched += isMeant ? static_cast<double>(job.dataCentres.size()) : 0;
+            const bool isSelected = job.queue == queue && !job.dataCentres.empty();
+            started += isSelected ? 1 : 0;
+            touched += isSelected ? static_cast<double>(job.dataCentres.size()) : 0;
         }
         return started == 0 ? 0.0 : touched / started;
     }
 
-    /** Processor seconds of work that was done but not saved when its run was stopped. */
+    /** Processor seconds of work lost because a run was stopped without a checkpoint. */
     double lostProcessorSeconds() const
     {
         return this->lostWork;
@@ -132,10 +132,10 @@
 
     std::size_t questions() const
     {
-        return this->questionCount;
+        return this->requestCount;
     }
 
-    /** Processor seconds of work that jobs which ended in time or late were made of, each second. */
+    /** Processor seconds of work in all ended jobs, in time or late, per second. */
     double goodput() const
     {
         return this->endedWork / absl::ToDoubleSeconds(this->now - this->begin);
@@ -146,7 +146,7 @@
         return this->planner.work();
     }
 
-    /** Mean share of accelerators in use. */
+    /** Mean share of accelerators that are reserved. */
     double acceleratorsInUse() const
     {
         return this->ticks == 0 ? 0 : this->inUse / static_cast<double>(this->ticks);
@@ -167,13 +167,13 @@
         std::uint32_t run = 0;
         workload::Incarnation worker;
         Timestamp workSince;
-        /** Work done in earlier runs. */
+        /** Work saved by earlier runs. */
         Duration saved;
         Timestamp stopsAt = absl::InfiniteFuture();
     };
 
-    struct Question {
-        execution::AdviceRequest asked;
+    struct PendingRequest {
+        execution::AdviceRequest request;
         Timestamp answerAt;
     };
 
@@ -233,16 +233,16 @@
         this->apply(std::move(registration));
     }
 
-    /** Who is free to ask may do so; of four askers one is kept for short questions. */
+    /** Each idle instance may make a request; a quarter of the instances is reserved for short requests. */
     PlanBudget budget() const
     {
         if (this->pattern.adviceInstances == std::numeric_limits<std::size_t>::max()) {
             return {};
         }
-        const std::size_t underWay = this->pendingQuestions.size();
-        const std::size_t forLong = this->pattern.adviceInstances * 3 / 4;
-        const std::size_t free = this->pattern.adviceInstances - std::min(underWay, this->pattern.adviceInstances);
-        return {{forLong - std::min(underWay, forLong), absl::Milliseconds(50) * free}};
+        const std::size_t pendingCount = this->pendingRequests.size();
+        const std::size_t longLimit = this->pattern.adviceInstances * 3 / 4;
+        const std::size_t idle = this->pattern.adviceInstances - std::min(pendingCount, this->pattern.adviceInstances);
+        return {{longLimit - std::min(pendingCount, longLimit), absl::Milliseconds(50) * idle}};
     }
 
     void submitArrivals()
@@ -284,21 +284,21 @@
 
     bool isPartitioned(const workload::Incarnation &worker) const
     {
-        const bool isTime = this->now >= this->begin + this->pattern.partition.start
-                            && this->now < this->begin + this->pattern.partition.start + this->pattern.partition.duration;
-        return isTime && this->state.findWorker(worker)->registration.zone == absl::StrCat("d", this->pattern.partition.dataCentre);
+        const bool isActive = this->now >= this->begin + this->pattern.partition.start
+                              && this->now < this->begin + this->pattern.partition.start + this->pattern.partition.duration;
+        return isActive && this->state.findWorker(worker)->registration.zone == absl::StrCat("d", this->pattern.partition.dataCentre);
     }
 
-    /** The leader finds silent workers after an answer's patience, and hears of them again when the cut is over. */
+    /** The leader detects unresponsive workers after the answer timeout, and gets answers again when the partition ends. */
     void applyPartition()
     {
         for (auto &[id, view] : this->views) {
-            const bool isCutNow = this->isPartitioned(id);
-            const bool isFound = isCutNow && this->now >= this->begin + this->pattern.partition.start + execution::minAnswerTimeout;
-            if (isFound && !view.isUnresponsive()) {
+            const bool isPartitionedNow = this->isPartitioned(id);
+            const bool isDetected = isPartitionedNow && this->now >= this->begin + this->pattern.partition.start + execution::minAnswerTimeout;
+            if (isDetected && !view.isUnresponsive()) {
                 view.recordFailedCall(this->now);
                 this->planner.markViewChanged(id);
-            } else if (!isCutNow && view.isUnresponsive()) {
+            } else if (!isPartitionedNow && view.isUnresponsive()) {
                 view.recordAnswer(this->now, std::nullopt);
                 this->planner.markViewChanged(id);
             }
@@ -307,16 +307,16 @@
 
     void endRuns()
     {
-        std::vector<workload::TaskKey> over;
+        std::vector<workload::TaskKey> ended;
         for (const auto &[key, run] : this->runs) {
             if (this->isPartitioned(run.worker)) {
                 continue;
             }
             if (run.stopsAt <= this->now || this->workDone(run) >= this->jobs.at(key.job).work) {
-                over.push_back(key);
+                ended.push_back(key);
             }
         }
-        for (const workload::TaskKey &key : over) {
+        for (const workload::TaskKey &key : ended) {
             const RunLog run = this->runs.at(key);
             const bool isDone = this->workDone(run) >= this->jobs.at(key.job).work;
             const work::StepSpecT &step = this->state.findJob(key.job)->stepSpec(key.step);
@@ -348,28 +348,28 @@
         }
     }
 
-    void answerQuestions()
+    void answerRequests()
     {
-        std::vector<Question> due;
-        std::copy_if(this->pendingQuestions.begin(), this->pendingQuestions.end(), std::back_inserter(due), [this](const Question &entry) {
+        std::vector<PendingRequest> due;
+        std::copy_if(this->pendingRequests.begin(), this->pendingRequests.end(), std::back_inserter(due), [this](const PendingRequest &entry) {
             return entry.answerAt <= this->now;
         });
-        std::erase_if(this->pendingQuestions, [this](const Question &entry) { return entry.answerAt <= this->now; });
-        for (const Question &question : due) {
+        std::erase_if(this->pendingRequests, [this](const PendingRequest &entry) { return entry.answerAt <= this->now; });
+        for (const PendingRequest &pending : due) {
             execution::AdviceAnswer answer;
             answer.isAnswered = true;
-            for (const workload::Incarnation &worker : question.asked.workers) {
-                if (this->isPermitted(question.asked.step.job, worker.id)) {
+            for (const workload::Incarnation &worker : pending.request.workers) {
+                if (this->isPermitted(pending.request.step.job, worker.id)) {
                     answer.tickets.emplace_back();
                     answer.tickets.back().worker = worker.id;
                     answer.tickets.back().ticket = "ticket";
                 }
             }
-            this->advice.recordAnswer(this->now, question.asked.id, answer);
+            this->advice.recordAnswer(this->now, pending.request.id, answer);
         }
     }
 
-    /** The same for each question about the step. */
+    /** Whether the service permits the worker; the result is the same for each request. */
     bool isPermitted(const std::string &job, const std::string &worker)
     {
         const auto [found, isNew] = this->permissions.try_emplace({job, worker}, false);
@@ -406,9 +406,9 @@
             this->tracks.at(key).phase = execution::RunPhase::Stopping;
             this->runs.at(key).stopsAt = std::min(this->runs.at(key).stopsAt, this->now + stopTime);
         }
-        for (const execution::AdviceRequest &question : plan.adviceRequests) {
-            ++this->questionCount;
-            this->pendingQuestions.push_back({question, this->now + question.decisionTime});
+        for (const execution::AdviceRequest &request : plan.adviceRequests) {
+            ++this->requestCount;
+            this->pendingRequests.push_back({request, this->now + request.decisionTime});
         }
         work::PlaceRunsT command;
         for (const work::PlacementT &placement : plan.placements) {
@@ -455,13 +455,13 @@
     std::map<workload::TaskKey, RunLog> runs;
     std::map<workload::TaskKey, Duration> savedWork;
     std::map<std::pair<std::string, std::string>, bool> permissions;
-    std::vector<Question> pendingQuestions;
+    std::vector<PendingRequest> pendingRequests;
     Timestamp nextReport = absl::InfinitePast();
     double lostWork = 0;
     double endedWork = 0;
     double inUse = 0;
     std::size_t ticks = 0;
-    std::size_t questionCount = 0;
+    std::size_t requestCount = 0;
 };
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/loadreplay_test.cpp
+++ b/paddlepier/planning/loadreplay_test.cpp
@@ -1,4 +1,4 @@
-// How long work waits, and how much of it is served in time, under load patterns that are hard to serve.
+// Wait times and shares of jobs served in time, under load patterns that are hard to schedule.
 
 #include "paddlepier/planning/loadreplay.h"
 
@@ -19,7 +19,7 @@
         Duration wideWait;
     };
 
-    /** Shares of jobs that end in time, and the wait that nine tenths of the wide ones stay below: means of some seeds. */
+    /** Shares of jobs that end in time, and the 90th percentile of the wait of wide jobs, as means over several seeds. */
     static Served serve(double load)
     {
         constexpr int seeds = 5;
@@ -35,15 +35,15 @@
     }
 };
 
-class CutFixture
+class PartitionFixture
 {
 public:
-    static constexpr Duration cutAt = absl::Seconds(14);
+    static constexpr Duration partitionStart = absl::Seconds(14);
 
     struct Served {
         double dataCentres = 0;
-        /** Of the quick jobs submitted within a second and a half before the cut. */
-        double beforeCut = 0;
+        /** Share in time of the quick jobs submitted within 1.5 s before the partition. */
+        double beforePartition = 0;
         double all = 0;
         double longJobs = 0;
     };
@@ -54,11 +54,11 @@
         Served served;
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
             LoadPattern pattern = quickBesideLongPattern(1.0);
-            pattern.partition.start = cutAt;
+            pattern.partition.start = partitionStart;
             LoadReplay replay(seed, pattern);
             replay.run(absl::Seconds(24));
             served.dataCentres += replay.meanDataCentresPerJob("quick") / seeds;
-            served.beforeCut += replay.inTimeShare("quick", cutAt - absl::Milliseconds(1500), cutAt) / seeds;
+            served.beforePartition += replay.inTimeShare("quick", partitionStart - absl::Milliseconds(1500), partitionStart) / seeds;
             served.all += replay.inTimeShare("quick") / seeds;
             served.longJobs += replay.inTimeShare("long") / seeds;
         }
@@ -93,13 +93,13 @@
     CHECK(overloaded > 0.66);
 }
 
-TEST_CASE_METHOD(CutFixture, "quickJobs_whenADataCentreIsCutOff_areMostlyElsewhereAsAWhole")
+TEST_CASE_METHOD(PartitionFixture, "quickJobs_whenADataCentreIsPartitioned_areMostlyPlacedCompletelyInOthers")
 {
     const Served served = serve();
-    INFO("data centres a job " << served.dataCentres << ", in time before the cut " << served.beforeCut << ", all " << served.all << ", long "
+    INFO("data centres a job " << served.dataCentres << ", in time before the partition " << served.beforePartition << ", all " << served.all << ", long "
                                << served.longJobs);
     CHECK(served.dataCentres < 1.2);
-    CHECK(served.beforeCut > 0.87);
+    CHECK(served.beforePartition > 0.87);
     CHECK(served.all > 0.9);
     CHECK(served.longJobs > 0.95);
 }
@@ -113,7 +113,7 @@
     CHECK(served.wideWait < absl::Seconds(5));
 }
 
-TEST_CASE_METHOD(WideTasksFixture, "wideTasks_inOverload_leaveSmallOnesTheirTime")
+TEST_CASE_METHOD(WideTasksFixture, "wideTasks_inOverload_keepSmallOnesInTime")
 {
     const Served served = serve(1.4);
     INFO("wide " << served.wide << ", small " << served.small);
--- a/paddlepier/planning/objectiveforecast_test.cpp
+++ b/paddlepier/planning/objectiveforecast_test.cpp
@@ -1,4 +1,4 @@
-// Whether a job can still meet its objective.
+// Forecasts of whether a job can still meet its objective.
 
 #include "paddlepier/planning/objectiveforecast.h"
 
@@ -10,10 +10,10 @@
 namespace
 {
 
-class OutlookFixture
+class ObjectiveForecastFixture
 {
 public:
-    OutlookFixture()
+    ObjectiveForecastFixture()
     {
         this->queue.stretch = 2;
         this->queue.targetLatencyMillis = 500;
@@ -37,9 +37,9 @@
 
 } // namespace
 
-TEST_CASE_METHOD(OutlookFixture, "outlook_ofAgeingJob_getsLateThenHopeless")
+TEST_CASE_METHOD(ObjectiveForecastFixture, "status_ofAnAgeingJob_becomesLateThenUnattainable")
 {
-    // Objective 2 x 3000 + 500; the longest chain takes 3000.
+    // The objective is 2 x 3000 + 500 ms; the longest chain takes 3000 ms.
     CHECK(forecastObjective(this->job(), 0, 10'000, 1.0).status == ObjectiveStatus::InTime);
     CHECK(forecastObjective(this->job(), 0, 10'000 + 3500, 1.0).status == ObjectiveStatus::InTime);
     CHECK(forecastObjective(this->job(), 0, 10'000 + 3501, 1.0).status == ObjectiveStatus::Late);
@@ -47,7 +47,7 @@
     CHECK(forecastObjective(this->job(), 0, 10'000 + 16'501, 1.0).status == ObjectiveStatus::Unattainable);
 }
 
-TEST_CASE_METHOD(OutlookFixture, "outlook_withAStepDone_countsOnlyWhatIsLeft")
+TEST_CASE_METHOD(ObjectiveForecastFixture, "forecast_withAFinishedStep_countsOnlyRemainingSteps")
 {
     workload::Job job = this->job();
     job.place({job.id(), 0, 0, 0}, 1, {"w1"}, 1000);
@@ -56,12 +56,12 @@
     CHECK(forecastObjective(job, 0, 10'000 + 4501, 1.0).status == ObjectiveStatus::Late);
 }
 
-TEST_CASE_METHOD(OutlookFixture, "outlook_whereRunsTakeLongerThanEstimated_isWidened")
+TEST_CASE_METHOD(ObjectiveForecastFixture, "objective_whenRunsTakeLongerThanEstimated_isExtended")
 {
     CHECK(forecastObjective(this->job(), 0, 10'000 + 3501, 2.0).status == ObjectiveStatus::InTime);
 }
 
-TEST_CASE_METHOD(OutlookFixture, "outlook_ofScheduledOccurrence_beginsWhenItIsDue")
+TEST_CASE_METHOD(ObjectiveForecastFixture, "age_ofAScheduledOccurrence_startsWhenItIsDue")
 {
     this->spec.repetitions = 2;
     this->spec.firstDueMillis = 50'000;
--- a/paddlepier/planning/plancost_test.cpp
+++ b/paddlepier/planning/plancost_test.cpp
@@ -1,4 +1,4 @@
-// What a plan costs, counted in what it looks at: it follows from what has changed, not from what waits or how large the cell is.
+// The cost of a plan, as counted operations, depends on what has changed and not on the number of waiting steps or workers.
 
 #include "paddlepier/planning/fakecell.h"
 
@@ -12,7 +12,7 @@
 namespace
 {
 
-/** A full cell with many steps waiting; all that can be placed was placed, and all that can be asked was asked. */
+/** A full cell with many waiting steps, in which no further placement or advice request is possible. */
 class BacklogFixture
 {
 public:
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Of one plan that follows the end of @p ends runs. */
+    /** Work of one plan after @p ends runs have ended. */
     PlanWork workOfAPlanAfter(std::size_t ends)
     {
         for (std::size_t number = 0; number < ends; ++number) {
@@ -52,7 +52,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(BacklogFixture, "plan_withThousandsOfStepsWaiting_readsWhatHasChangedAlone")
+TEST_CASE_METHOD(BacklogFixture, "plan_withThousandsOfWaitingSteps_readsOnlyWhatChanged")
 {
     REQUIRE(this->cell.state.waitingJobs().size() > 1500);
     const PlanWork work = this->workOfAPlanAfter(1);
@@ -61,7 +61,7 @@
     CHECK(work.stepsPlanned <= 100);
 }
 
-TEST_CASE_METHOD(BacklogFixture, "plan_withRoomForManyTasks_endsWhenAsMuchIsPlacedAsMayBe")
+TEST_CASE_METHOD(BacklogFixture, "plan_withCapacityForManyTasks_endsAtThePlacementBudget")
 {
     this->workOfAPlanAfter(400);
     this->cell.advance(absl::Milliseconds(100));
--- a/paddlepier/planning/planner_benchmark.cpp
+++ b/paddlepier/planning/planner_benchmark.cpp
@@ -1,4 +1,5 @@
-// One plan at the size of a grown cell: 350 workers, some 4,000 runs under way, 100 steps that wait; and of larger ones.
+// Benchmarks of single plans at the size of a grown cell (350 workers, some 4,000 current runs, 100 waiting steps) and of larger ones, of
+// replays, and of the workload's snapshots.
 
 #include "paddlepier/planning/fakecell.h"
 #include "paddlepier/planning/loadreplay.h"
@@ -20,7 +21,7 @@
 constexpr std::size_t runs = 4000;
 constexpr std::size_t steps = 100;
 
-/** Everything is decided anew, what may make way too; questions asked before await their answers. */
+/** A new planner decides everything from scratch, including preemptions; earlier advice requests are pending. */
 void BM_PlanWithWaitingSteps(benchmark::State &state)
 {
     const auto workerCount = static_cast<std::uint32_t>(state.range(0));
@@ -38,7 +39,7 @@
 }
 BENCHMARK(BM_PlanWithWaitingSteps)->Arg(workers)->Arg(1100)->Arg(3300);
 
-/** The same, with a short time between the plans; what can be placed was placed. */
+/** Plans in quick succession without a change in between, after everything possible was placed. */
 void BM_PlanWithoutNews(benchmark::State &state)
 {
     FakeCell cell(seed, workers);
@@ -57,7 +58,7 @@
 }
 BENCHMARK(BM_PlanWithoutNews);
 
-/** All steps need advice and have asked for it; none has a ticket. */
+/** All steps need advice and have a pending request; none has a ticket. */
 void BM_PlanWhileAnswersAreAwaited(benchmark::State &state)
 {
     FakeCell cell(seed, workers);
@@ -72,22 +73,22 @@
         }
     }
     cell.advance(absl::Seconds(2));
-    std::size_t questions = 0;
+    std::size_t requests = 0;
     for (int round = 0; round < 3; ++round) {
-        questions += cell.plan().adviceRequests.size();
+        requests += cell.plan().adviceRequests.size();
     }
     std::size_t decisions = 0;
     for (auto _ : state) {
         const Plan plan = cell.plan();
         decisions += plan.placements.size() + plan.adviceRequests.size();
     }
-    state.counters["asked"] = static_cast<double>(questions);
+    state.counters["asked"] = static_cast<double>(requests);
     state.counters["waiting"] = static_cast<double>(cell.state.waitingJobs().size());
     state.counters["decisions"] = benchmark::Counter(static_cast<double>(decisions), benchmark::Counter::kAvgIterations);
 }
 BENCHMARK(BM_PlanWhileAnswersAreAwaited);
 
-/** A full cell with a backlog, and a policy service that answers some questions a plan: one run ends, and a plan follows. */
+/** A full cell with a backlog, and a policy service that answers some requests of each plan: a plan after the end of one run. */
 void BM_PlanAfterOneChange(benchmark::State &state)
 {
     const PlanBudget budget{{2, absl::Milliseconds(100)}};
@@ -145,7 +146,7 @@
     ->Iterations(200)
     ->Unit(benchmark::kMicrosecond);
 
-/** A minute of wide tasks beside small ones, at the given percentage of the pattern's load: what comes of it for those who wait. */
+/** A minute of wide tasks beside small ones, at the given percentage of the pattern's load: waits and shares in time. */
 void BM_WideTasksReplay(benchmark::State &state)
 {
     double wide = 0;
@@ -172,7 +173,7 @@
 }
 BENCHMARK(BM_WideTasksReplay)->Arg(100)->Arg(120)->Arg(140)->Iterations(8)->Unit(benchmark::kMillisecond);
 
-/** Twenty seconds of a load that is so many per cent of the pattern's: the time that planning takes, and what comes of it. */
+/** Twenty seconds at the given percentage of the pattern's load: planning time and goodput. */
 void BM_BacklogReplay(benchmark::State &state)
 {
     double goodput = 0;
@@ -185,7 +186,7 @@
 }
 BENCHMARK(BM_BacklogReplay)->Arg(50)->Arg(100)->Arg(200)->Arg(400)->Iterations(1)->Unit(benchmark::kMillisecond);
 
-/** Runs under way, 1,000 jobs that wait, and the given number of jobs that have ended and are kept for a while. */
+/** A cell with current runs, 1,000 waiting jobs, and the given number of ended jobs that are still retained. */
 class SnapshotCell : public FakeCell
 {
 public:
@@ -202,7 +203,7 @@
     }
 
 private:
-    /** Carries the jobs on for a while and cancels what is left then. @return jobs that have ended */
+    /** Lets the jobs progress for a while and cancels the rest. @return number of jobs that have ended */
     std::size_t endAll()
     {
         constexpr int rounds = 6;
@@ -221,7 +222,7 @@
     }
 };
 
-/** What a leader does at each compaction of its log. */
+/** The snapshot that a leader makes at each compaction of its log. */
 void BM_WorkloadSnapshot(benchmark::State &state)
 {
     SnapshotCell cell(static_cast<std::size_t>(state.range(0)));
@@ -244,7 +245,7 @@
 }
 BENCHMARK(BM_WorkloadRestore)->Arg(0)->Arg(1400)->Arg(6000)->Unit(benchmark::kMillisecond);
 
-/** The end of a run and the placement of the next, without the time to pack and send them. */
+/** The end of a run and the placement of the next, without the time to encode and send the commands. */
 void BM_WorkloadEndAndPlace(benchmark::State &state)
 {
     FakeCell cell(seed, workers);
--- a/paddlepier/planning/planner_outcome_test.cpp
+++ b/paddlepier/planning/planner_outcome_test.cpp
@@ -1,4 +1,4 @@
-// Plans of many cells made from seeds: what they decide, and what no plan may break.
+// Plans of many generated cells: their recorded decisions, and the rules that every plan must keep.
 
 #include "paddlepier/planning/fakecell.h"
 
@@ -25,9 +25,9 @@
 public:
     static constexpr int rounds = 4;
 
-    /** Plans a cell of the seed's size several times and passes the plans to @p take before they are carried out. */
-    template<typename Take>
-    static void play(std::uint32_t seed, Take take)
+    /** Plans a cell whose size depends on the seed several times, and passes each plan to @p visit before it is executed. */
+    template<typename Visit>
+    static void play(std::uint32_t seed, Visit visit)
     {
         const std::uint32_t workers = 5 + (seed * 7) % 60 + (seed % 10 == 0 ? 290 : 0);
         FakeCell cell(seed, workers);
@@ -36,7 +36,7 @@
         cell.addWaitingSteps(5 + seed % 40);
         for (int round = 0; round < rounds; ++round) {
             const Plan plan = cell.plan();
-            take(cell, plan);
+            visit(cell, plan);
             cell.execute(plan);
             cell.advance(absl::Milliseconds(30));
             cell.endRuns(0.05);
@@ -49,9 +49,9 @@
         for (const work::PlacementT &placement : plan.placements) {
             absl::StrAppend(&text, "p", workload::TaskKey(*placement.task).text(), " ", placement.run, " ", placement.worker, "\n");
         }
-        for (const execution::AdviceRequest &question : plan.adviceRequests) {
-            absl::StrAppend(&text, "q", question.step.text(), "\n");
-            for (const workload::Incarnation &worker : question.workers) {
+        for (const execution::AdviceRequest &request : plan.adviceRequests) {
+            absl::StrAppend(&text, "q", request.step.text(), "\n");
+            for (const workload::Incarnation &worker : request.workers) {
                 absl::StrAppend(&text, worker.id);
             }
         }
@@ -61,7 +61,7 @@
         return text;
     }
 
-    /** FNV-1a, 64 bits, which doesn't depend on the library. */
+    /** 64-bit FNV-1a, which doesn't depend on the standard library's hash. */
     static std::uint64_t digestOf(const std::string &text)
     {
         std::uint64_t digest = 0xcbf29ce484222325ULL;
@@ -85,13 +85,13 @@
         CHECK((!job.queue().advice || cell.advice.validTicket(cell.now, key.stepKey(), workload::incarnationOf(placement)) != nullptr));
     }
 
-    /** Runs of a step on a worker, those that were superseded too. */
+    /** Number of runs of a step on a worker, including superseded ones. */
     static std::uint32_t runsOfStep(const workload::Worker &worker, const workload::StepKey &step)
     {
         const auto isOfStep = [&step](const workload::TaskKey &key) { return key.stepKey() == step; };
-        const auto under = std::count_if(worker.runs.begin(), worker.runs.end(), isOfStep);
+        const auto current = std::count_if(worker.runs.begin(), worker.runs.end(), isOfStep);
         const auto superseded = std::count_if(worker.superseded.begin(), worker.superseded.end(), [&](const auto &entry) { return isOfStep(entry.first); });
-        return static_cast<std::uint32_t>(under + superseded);
+        return static_cast<std::uint32_t>(current + superseded);
     }
 
     static void checkBounds(const FakeCell &cell, const Plan &plan)
@@ -113,17 +113,17 @@
             CHECK((!job.stepSpec(step.step).isGang || count == job.stepSpec(step.step).count));
         }
         for (const auto &[place, count] : onWorker) {
-            const std::uint32_t most = cell.state.findJob(place.first.job)->stepSpec(place.first.step).mostPerWorker;
-            CHECK((most == 0 || count + runsOfStep(*cell.state.findWorker({place.second}), place.first) <= most));
+            const std::uint32_t limit = cell.state.findJob(place.first.job)->stepSpec(place.first.step).mostPerWorker;
+            CHECK((limit == 0 || count + runsOfStep(*cell.state.findWorker({place.second}), place.first) <= limit));
         }
-        for (const auto &[id, taken] : processors) {
+        for (const auto &[id, reserved] : processors) {
             const workload::Worker &worker = *cell.state.findWorker({id});
-            CHECK(static_cast<std::int64_t>(taken) <= std::max<std::int64_t>(0, worker.freeMilliProcessors()));
+            CHECK(static_cast<std::int64_t>(reserved) <= std::max<std::int64_t>(0, worker.freeMilliProcessors()));
             CHECK(memory[id] + worker.reservedMemoryMegabytes <= worker.registration.capacity->memoryMegabytes());
         }
     }
 
-    /** What the workload counts as it goes is what a scan finds, and what a restored one has. */
+    /** Compares the counters that the workload maintains with those of a full scan. */
     static void checkCounts(const workload::Workload &state)
     {
         std::size_t waitingJobs = 0;
@@ -165,8 +165,8 @@
 
 } // namespace
 
-// The digests stand for what was decided when they were recorded; a change that is meant to decide otherwise records them anew.
-TEST_CASE_METHOD(OutcomeFixture, "plans_ofCellsFromSeeds_areAsRecorded")
+// Guards against unintended changes of decisions. A change that is meant to alter decisions records new digests.
+TEST_CASE_METHOD(OutcomeFixture, "plans_ofGeneratedCells_matchRecordedDigests")
 {
     constexpr std::array<std::uint64_t, 24> recorded{
         0xfc7ac69428e14651ULL, 0x3bc78cae86b372f2ULL, 0x9c8fb1d758edd353ULL, 0xf8d9b26b01a826d5ULL, 0x5437ea8129cb3351ULL, 0x3fd3ddcb0828806cULL,
@@ -181,7 +181,7 @@
     }
 }
 
-TEST_CASE_METHOD(OutcomeFixture, "plans_ofCellsFromSeeds_keepTheRules")
+TEST_CASE_METHOD(OutcomeFixture, "plans_ofGeneratedCells_keepTheInvariants")
 {
     constexpr std::uint32_t seeds = 120;
     std::size_t placed = 0;
@@ -196,12 +196,12 @@
             preempted += plan.preemptions.size();
         });
     }
-    // The cells are such that there is something to judge.
+    // The cells must produce enough decisions for the checks to be meaningful.
     CHECK(placed > 1000);
     CHECK(preempted > 100);
 }
 
-TEST_CASE_METHOD(OutcomeFixture, "countsOfAWorkload_afterPlacementsAndEnds_areThoseOfAScan")
+TEST_CASE_METHOD(OutcomeFixture, "workloadCounters_afterPlacementsAndEnds_equalThoseOfAScan")
 {
     for (std::uint32_t seed = 500; seed < 510; ++seed) {
         INFO("seed " << seed);
--- a/paddlepier/planning/planner_test.cpp
+++ b/paddlepier/planning/planner_test.cpp
@@ -1,4 +1,4 @@
-// Where waiting tasks go, what is asked first, and what makes way.
+// Tests placements, advice requests and preemptions of single plans.
 
 #include "paddlepier/planning/planner.h"
 #include "paddlepier/workload/applycommand.h"
@@ -18,7 +18,7 @@
 {
 public:
     PlannerFixture()
-        : planner(this->state, this->views, this->tracks, this->setbacks, this->advice, this->usualRatios)
+        : planner(this->state, this->views, this->tracks, this->taskBackoff, this->advice, this->typicalRatios)
     {
     }
 
@@ -84,7 +84,7 @@
         return this->planner.plan(this->now, this->wallMillis);
     }
 
-    /** Carries a plan's placements out: the runs are then under way. */
+    /** Executes a plan's placements; the runs are then in phase Running. */
     void place(Plan plan)
     {
         work::PlaceRunsT command;
@@ -99,8 +99,8 @@
         this->apply(std::move(command));
     }
 
-    /** One worker that is full of runs which save their progress. */
-    void fillWithSavingWork()
+    /** Adds one worker that is full of runs with checkpoints. */
+    void fillWithCheckpointingWork()
     {
         this->configure();
         this->addWorker("w1");
@@ -114,16 +114,16 @@
     workload::Workload state;
     execution::WorkerViews views;
     execution::RunTracks tracks;
-    execution::TaskBackoff setbacks;
+    execution::TaskBackoff taskBackoff;
     AdviceCache advice;
-    std::map<std::string, double> usualRatios;
+    std::map<std::string, double> typicalRatios;
     Planner planner;
     work::SubmitJobT pending;
 };
 
 } // namespace
 
-TEST_CASE_METHOD(PlannerFixture, "gang_withoutRoomForAll_isNotPlaced")
+TEST_CASE_METHOD(PlannerFixture, "gang_withoutCapacityForAllMembers_isNotPlaced")
 {
     this->configure();
     this->addWorker("w1");
@@ -138,7 +138,7 @@
     }
 }
 
-TEST_CASE_METHOD(PlannerFixture, "longQuestions_beyondThoseThatCanBeSent_areLeftToTheNextPlan")
+TEST_CASE_METHOD(PlannerFixture, "longAdviceRequests_beyondTheBudget_areDeferredToTheNextPlan")
 {
     this->configure(500);
     this->addWorker("w1", "r1-1", 9000);
@@ -157,7 +157,7 @@
     CHECK(next.adviceRequests[0].step.job == "c");
 }
 
-TEST_CASE_METHOD(PlannerFixture, "roomOfAStepThatCantBeAskedAbout_isLeftToOneWithATicket")
+TEST_CASE_METHOD(PlannerFixture, "capacity_whenAStepsRequestCantBeSent_isLeftToAStepWithATicket")
 {
     this->configure(500);
     this->addWorker("w1", "r1-1", 1000);
@@ -168,17 +168,17 @@
     this->addJob("second", "advised", 1);
     this->submit();
     const workload::StepKey second{"second", 0, 0};
-    const execution::AdviceRequest question = this->advice.request(this->now, second, "advised", {{"w1"}}, *this->state.findJob("second")->queue().advice);
+    const execution::AdviceRequest request = this->advice.request(this->now, second, "advised", {{"w1"}}, *this->state.findJob("second")->queue().advice);
     execution::AdviceAnswer answer;
     answer.isAnswered = true;
     answer.tickets.emplace_back().worker = "w1";
-    this->advice.recordAnswer(this->now, question.id, answer);
+    this->advice.recordAnswer(this->now, request.id, answer);
     const Plan plan = this->planner.plan(this->now, this->wallMillis, {{0}});
     REQUIRE(plan.placements.size() == 1);
     CHECK(plan.placements[0].task->job == "second");
 }
 
-TEST_CASE_METHOD(PlannerFixture, "task_withDataOnARack_goesThereWhileThereIsRoom")
+TEST_CASE_METHOD(PlannerFixture, "task_withDataOnARack_isPlacedThereWhileCapacityIsFree")
 {
     this->configure();
     this->addWorker("w1", "r1-1");
@@ -192,7 +192,7 @@
     }
 }
 
-TEST_CASE_METHOD(PlannerFixture, "step_withABoundForEachWorker_keepsToIt")
+TEST_CASE_METHOD(PlannerFixture, "step_withALimitPerWorker_doesNotExceedIt")
 {
     this->configure();
     this->addWorker("w1");
@@ -202,7 +202,7 @@
     CHECK(this->plan().placements.size() == 2);
 }
 
-TEST_CASE_METHOD(PlannerFixture, "step_thatNeedsALabel_goesToNoOtherWorker")
+TEST_CASE_METHOD(PlannerFixture, "step_withARequiredLabel_isNotPlacedOnOtherWorkers")
 {
     this->configure();
     this->addWorker("w1");
@@ -211,7 +211,7 @@
     CHECK(this->plan().placements.empty());
 }
 
-TEST_CASE_METHOD(PlannerFixture, "question_forAStepWithAPolicy_comesBeforeItsPlacement")
+TEST_CASE_METHOD(PlannerFixture, "adviceRequest_forAStepWithAPolicy_precedesItsPlacement")
 {
     this->configure();
     for (int number = 0; number < 12; ++number) {
@@ -222,7 +222,7 @@
     const Plan plan = this->plan();
     CHECK(plan.placements.empty());
     REQUIRE(plan.adviceRequests.size() == 1);
-    // Naming a worker costs a twentieth of the question: several are named at once.
+    // Naming a worker costs a twentieth of the request, so that several are named at once.
     CHECK(plan.adviceRequests[0].workers.size() >= 7);
     CHECK(this->plan().adviceRequests.empty());
     execution::AdviceAnswer answer;
@@ -238,9 +238,9 @@
     CHECK(this->plan().placements.empty());
 }
 
-TEST_CASE_METHOD(PlannerFixture, "urgentWork_withoutRoom_makesCheckpointingWorkGiveWay")
+TEST_CASE_METHOD(PlannerFixture, "urgentWork_withoutFreeCapacity_preemptsCheckpointingWork")
 {
-    this->fillWithSavingWork();
+    this->fillWithCheckpointingWork();
     this->addJob("quick", "urgent", 2);
     this->submit();
     const Plan plan = this->plan();
@@ -248,12 +248,12 @@
     CHECK(plan.preemptions.size() == 2);
 }
 
-TEST_CASE_METHOD(PlannerFixture, "urgentWork_thatIsLateAlready_makesNothingGiveWay")
+TEST_CASE_METHOD(PlannerFixture, "urgentWork_thatIsAlreadyLate_preemptsNothing")
 {
-    this->fillWithSavingWork();
+    this->fillWithCheckpointingWork();
     this->addJob("quick", "urgent", 2);
     this->submit();
-    // Its objective is two seconds, of which one is work.
+    // Its objective is two seconds, one of which is work.
     this->wallMillis += 1500;
     CHECK(this->plan().preemptions.empty());
     this->addJob("next", "urgent", 1);
@@ -261,9 +261,9 @@
     CHECK(this->plan().preemptions.size() == 1);
 }
 
-TEST_CASE_METHOD(PlannerFixture, "urgentWork_shortlyAfterAPreemption_makesMoreGiveWayAfterAPause")
+TEST_CASE_METHOD(PlannerFixture, "urgentWork_shortlyAfterAPreemption_preemptsMoreAfterThePause")
 {
-    this->fillWithSavingWork();
+    this->fillWithCheckpointingWork();
     this->addJob("quick", "urgent", 1);
     this->submit();
     const Plan first = this->plan();
@@ -279,7 +279,7 @@
     CHECK_FALSE(next.preemptions[0].run == first.preemptions[0].run);
 }
 
-TEST_CASE_METHOD(PlannerFixture, "urgentWork_withoutRoom_leavesLastingAndUnsavedWorkAlone")
+TEST_CASE_METHOD(PlannerFixture, "urgentWork_withoutFreeCapacity_doesNotPreemptLastingOrUnsavedWork")
 {
     this->configure();
     this->addWorker("w1");
@@ -293,7 +293,7 @@
     CHECK(this->plan().preemptions.empty());
 }
 
-TEST_CASE_METHOD(PlannerFixture, "hopelessJob_beforeAFreshOne_isServedAfterIt")
+TEST_CASE_METHOD(PlannerFixture, "unattainableJob_olderThanAFreshOne_isServedAfterIt")
 {
     this->configure();
     this->addJob("old", "slow", 4);
@@ -307,7 +307,7 @@
     CHECK(plan.placements[0].task->job == "fresh");
 }
 
-TEST_CASE_METHOD(PlannerFixture, "drainingAndSuspiciousWorkers_getNoWork")
+TEST_CASE_METHOD(PlannerFixture, "drainingAndSuspectWorkers_beforeProbation_getNoWork")
 {
     this->configure();
     this->addWorker("w1");
@@ -324,11 +324,11 @@
     REQUIRE(plan.placements.size() == 4);
     CHECK(plan.placements[0].worker == "w3");
     this->now += absl::Seconds(30);
-    // After its time out the suspicious worker shows itself by one run.
+    // After its suspension the suspect worker is tested with one run.
     CHECK(this->plan().placements.size() >= 5);
 }
 
-TEST_CASE_METHOD(PlannerFixture, "failedTask_onTheOnlyWorkerWhereOneRunFailed_goesThereAgainAfterATimeOut")
+TEST_CASE_METHOD(PlannerFixture, "failedTask_whoseOnlyWorkerHadAFailure_isPlacedThereAfterTheSuspension")
 {
     this->configure();
     this->addWorker("w1");
@@ -346,18 +346,18 @@
     this->views.at({"w1"}).recordFailedRun(this->now);
     this->planner.markViewChanged({"w1"});
     CHECK(this->plan().placements.empty());
-    // Nothing else runs there that could show the worker to be sound.
+    // No other run could prove the worker healthy.
     this->now += absl::Seconds(30);
     CHECK(this->plan().placements.size() == 1);
 }
 
-TEST_CASE_METHOD(PlannerFixture, "finiteStep_thatFitsIntoOneDataCentre_staysThere")
+TEST_CASE_METHOD(PlannerFixture, "finiteStep_thatFitsIntoOneDataCentre_isPlacedInOne")
 {
     this->configure();
     for (const char *id : {"a1", "b1", "c1", "a2", "b2", "c2"}) {
         this->addWorker(id, "r1-1", 4000, std::string(1, id[0]));
     }
-    // Something runs on b1, so that the other data centres have more room.
+    // One task runs on b1, so that the other data centres have more free capacity.
     this->addJob("0000000000000001", "slow", 1);
     this->submit();
     this->place(this->plan());
@@ -373,7 +373,7 @@
     CHECK(workers.size() == 2);
 }
 
-TEST_CASE_METHOD(PlannerFixture, "finiteStep_withTasksUnderWay_goesOnBesideThem")
+TEST_CASE_METHOD(PlannerFixture, "finiteStep_withRunningTasks_isPlacedInTheirDataCentre")
 {
     this->configure();
     this->addWorker("a1", "r1-1", 2000, "a");
@@ -387,7 +387,7 @@
     }
 }
 
-TEST_CASE_METHOD(PlannerFixture, "finiteStep_widerThanADataCentre_takesRoomElsewhereToo")
+TEST_CASE_METHOD(PlannerFixture, "finiteStep_widerThanADataCentre_usesOtherDataCentresToo")
 {
     this->configure();
     this->addWorker("a1", "r1-1", 4000, "a");
@@ -397,7 +397,7 @@
     CHECK(this->plan().placements.size() == 6);
 }
 
-TEST_CASE_METHOD(PlannerFixture, "stepWithABoundPerWorker_besideASupersededRun_staysBelowIt")
+TEST_CASE_METHOD(PlannerFixture, "stepWithALimitPerWorker_besideASupersededRun_staysWithinIt")
 {
     this->configure();
     this->addWorker("w1");
@@ -420,12 +420,12 @@
     CHECK(plan.placements[0].worker == "w2");
 }
 
-TEST_CASE_METHOD(PlannerFixture, "preemption_ofSeveralJobs_takesTheYoungestAndLeavesTheOldest")
+TEST_CASE_METHOD(PlannerFixture, "preemption_amongSeveralJobs_choosesTheYoungestAndSparesTheOldest")
 {
     this->configure();
     this->addWorker("w1", "r1-1", 2000);
     this->addWorker("w2", "r1-1", 2000);
-    // The ids are against the order of age, and each worker runs a task of each job.
+    // The IDs sort in the reverse order of age, and each worker runs a task of each job.
     for (const char *id : {"000000000000000c", "000000000000000b"}) {
         work::StepSpecT &step = this->addJob(id, "slow", 2);
         step.isCheckpointing = true;
@@ -442,7 +442,7 @@
     CHECK(plan.preemptions[1].run.job == "000000000000000b");
 }
 
-TEST_CASE_METHOD(PlannerFixture, "wideStepOfManyTasks_inAFullCell_judgesEachWorkerOnceAndTheChosenAgain")
+TEST_CASE_METHOD(PlannerFixture, "wideStepOfManyTasks_inAFullCell_evaluatesEachWorkerOnceAndReservedOnesAgain")
 {
     constexpr std::uint64_t workers = 50;
     constexpr std::uint32_t tasks = 20;
@@ -457,9 +457,9 @@
     this->submit();
     const std::uint64_t before = this->planner.work().capacityForecasts;
     CHECK(this->plan().placements.empty());
-    const std::uint64_t judged = this->planner.work().capacityForecasts - before;
-    CHECK(judged >= workers);
-    CHECK(judged <= workers + tasks);
+    const std::uint64_t forecasts = this->planner.work().capacityForecasts - before;
+    CHECK(forecasts >= workers);
+    CHECK(forecasts <= workers + tasks);
 }
 
 } // namespace paddlepier::planning
--- a/paddlepier/planning/steporder_test.cpp
+++ b/paddlepier/planning/steporder_test.cpp
@@ -1,4 +1,4 @@
-// The order in which waiting steps are planned, where there is too much of them.
+// The order in which waiting steps are planned if capacity is scarce.
 
 #include "paddlepier/planning/steporder.h"
 #include "paddlepier/workload/applycommand.h"
@@ -41,7 +41,7 @@
         workload::applyCommand(this->state, this->wallMillis, std::move(table));
     }
 
-    /** A job of two steps of a second each: its objective is six seconds. */
+    /** Submits a job of two steps of one second each; its objective is six seconds. */
     void submit(const std::string &id, std::int64_t atMillis, const std::string &queue = "slow")
     {
         this->wallMillis = atMillis;
@@ -59,8 +59,8 @@
         this->apply(std::move(command));
     }
 
-    /** Places the first task of the job, and ends it by @p kind unless it goes on. */
-    void begin(const std::string &job, std::optional<work::RunEndKind> kind = std::nullopt)
+    /** Places the first task of the job, and ends its run with @p kind if one is given. */
+    void start(const std::string &job, std::optional<work::RunEndKind> kind = std::nullopt)
     {
         work::PlaceRunsT command;
         auto &placement = command.placements.emplace_back(std::make_unique<work::PlacementT>());
@@ -82,58 +82,58 @@
     std::vector<std::string> order(std::int64_t atMillis)
     {
         std::vector<std::string> jobs;
-        for (const PendingStep &wanted : this->stepOrder.collect(atMillis)) {
-            jobs.push_back(wanted.key.job);
+        for (const PendingStep &pending : this->stepOrder.collect(atMillis)) {
+            jobs.push_back(pending.key.job);
         }
         return jobs;
     }
 
     std::int64_t wallMillis = 0;
     workload::Workload state;
-    const std::map<std::string, double> usualRatios;
-    const ObjectiveForecaster prospects{this->usualRatios};
-    StepOrder stepOrder{this->state, this->prospects};
+    const std::map<std::string, double> typicalRatios;
+    const ObjectiveForecaster forecaster{this->typicalRatios};
+    StepOrder stepOrder{this->state, this->forecaster};
 };
 
 } // namespace
 
-TEST_CASE_METHOD(StepOrderFixture, "jobThatHasBegun_goesBeforeOlderOnesThatHaveNot")
+TEST_CASE_METHOD(StepOrderFixture, "startedJob_youngerThanOthers_precedesJobsNotStarted")
 {
     this->submit("older", 1000);
     this->submit("begun", 1100);
     this->submit("preempted", 1200);
-    this->begin("begun");
-    this->begin("preempted", work::RunEndKind::Stopped);
+    this->start("begun");
+    this->start("preempted", work::RunEndKind::Stopped);
     CHECK(this->order(1300) == std::vector<std::string>{"begun", "preempted", "older"});
 }
 
-TEST_CASE_METHOD(StepOrderFixture, "jobWithTooLittleTimeToBegin_goesAfterThoseThatHaveEnough")
+TEST_CASE_METHOD(StepOrderFixture, "job_withTooLittleSlackToStart_followsThoseWithEnough")
 {
     this->submit("old", 1000);
     this->submit("young", 3000);
-    // Of its six seconds 3.5 are left for two of work.
+    // Of its six seconds, 3.5 are left for two seconds of work.
     CHECK(this->order(3500) == std::vector<std::string>{"old", "young"});
-    // Now 3.3: the tasks never come all at once.
+    // Now 3.3 are left, which is too little: the tasks aren't all placed at the same time.
     CHECK(this->order(3700) == std::vector<std::string>{"young", "old"});
-    this->begin("old");
+    this->start("old");
     CHECK(this->order(3700) == std::vector<std::string>{"old", "young"});
 }
 
-TEST_CASE_METHOD(StepOrderFixture, "jobOfAnUrgentQueue_goesFirstWhateverHasBegun")
+TEST_CASE_METHOD(StepOrderFixture, "jobOfAnUrgentQueue_besideAStartedJob_comesFirst")
 {
     this->submit("begun", 1000);
-    this->begin("begun");
+    this->start("begun");
     this->submit("urgent", 1100, "first");
     CHECK(this->order(1200).front() == "urgent");
 }
 
-TEST_CASE_METHOD(StepOrderFixture, "order_keptThroughChangesAndTime_isTheOneThatIsMadeAnew")
+TEST_CASE_METHOD(StepOrderFixture, "order_afterChangesAndTime_equalsOneBuiltFromScratch")
 {
-    const auto orderMadeAnew = [this](std::int64_t atMillis) {
-        StepOrder anew(this->state, this->prospects);
+    const auto orderBuiltFromScratch = [this](std::int64_t atMillis) {
+        StepOrder rebuilt(this->state, this->forecaster);
         std::vector<std::string> jobs;
-        for (const PendingStep &wanted : anew.collect(atMillis)) {
-            jobs.push_back(wanted.key.job);
+        for (const PendingStep &pending : rebuilt.collect(atMillis)) {
+            jobs.push_back(pending.key.job);
         }
         return jobs;
     };
@@ -141,29 +141,29 @@
         const std::string id = "job-" + std::to_string(number * 37 % 60);
         this->submit(id, 1000 + 150 * number, number % 4 == 0 ? "first" : "slow");
         if (number % 3 == 0) {
-            this->begin(id, number % 2 == 0 ? std::optional(work::RunEndKind::Stopped) : std::nullopt);
+            this->start(id, number % 2 == 0 ? std::optional(work::RunEndKind::Stopped) : std::nullopt);
         }
         if (number % 7 == 6) {
             work::CancelJobT command;
             command.id = id;
             this->apply(std::move(command));
         }
-        REQUIRE(this->order(this->wallMillis) == orderMadeAnew(this->wallMillis));
+        REQUIRE(this->order(this->wallMillis) == orderBuiltFromScratch(this->wallMillis));
     }
-    // From here on nothing but the time changes them, until all are hopeless.
+    // From here on only time changes the order, until all jobs are unattainable.
     for (std::int64_t millis = this->wallMillis; millis < 40'000; millis += 170) {
-        REQUIRE(this->order(millis) == orderMadeAnew(millis));
+        REQUIRE(this->order(millis) == orderBuiltFromScratch(millis));
     }
 }
 
-TEST_CASE_METHOD(StepOrderFixture, "jobThatChanges_amongManyThatWait_isPlacedInOrderAlone")
+TEST_CASE_METHOD(StepOrderFixture, "changedJob_amongManyWaiting_isTheOnlyOneReordered")
 {
     for (int number = 0; number < 500; ++number) {
         this->submit("job-" + std::to_string(number), 1000);
     }
     this->order(1000);
     const std::uint64_t before = this->stepOrder.reorderedJobs();
-    this->begin("job-77");
+    this->start("job-77");
     this->order(1010);
     CHECK(this->stepOrder.reorderedJobs() - before == 1);
     this->order(1020);
