--- a/paddlepier/base/log.cpp
+++ b/paddlepier/base/log.cpp
@@ -63,7 +63,7 @@
     return jsonString(std::get<std::string>(value));
 }
 
-/** Holds a few seconds of lines at the highest expected load; if the reader stalls for longer, lines are dropped. */
+/** Holds a few seconds of lines at the highest expected load; if the reader of standard output stalls for longer, lines are dropped. */
 constexpr std::size_t maxBufferedBytes = std::size_t{1} << 20U;
 
 constexpr Duration flushTimeout = absl::Milliseconds(200);
@@ -161,7 +161,7 @@
             return level;
         }
     }
-    throw InvalidSettingsError(absl::StrCat("unknown log level \"", std::string(name), "\""));
+    throw InvalidSettingsError(absl::StrCat("unknown log level; expected debug, info, warning or error, got \"", std::string(name), "\""));
 }
 
 void write(Level level, std::string_view component, std::string_view event, Fields fields)
--- a/paddlepier/base/log.h
+++ b/paddlepier/base/log.h
@@ -3,8 +3,8 @@
 // Every line has `time`, `level`, `component` and `event`, followed by the fields of the event. Fields are typed, so that numbers are written
 // as JSON numbers.
 //
-// Writing never blocks on the reader of standard output, and the lines of each event are limited per second. Lines that were dropped for a
-// slow reader or suppressed by the limit are counted and reported by the events `lines.dropped` and `lines.left-out`.
+// Writing never blocks on the reader of standard output, and the lines of each event are limited per second. Lines that were dropped
+// because the reader was too slow or suppressed by the limit are counted and reported by the events `lines.dropped` and `lines.left-out`.
 //
 // Example:
 //     log::info("ledger", "leader.elected", {{"group", name}, {"term", term}});
@@ -65,13 +65,14 @@
 Level levelFromName(std::string_view name);
 
 /**
- * Flushes buffered lines, waiting at most 200 ms (a fifth of a second), and exits without destroying static objects.
+ * Flushes buffered lines, waiting at most 200 ms, and exits without destroying static objects.
  *
- * Destroying the logging library joins its threads, which delayed the end of stopped processes by seconds. Call this after everything else
+ * Destroying the logging library joins its threads, which delayed the exit of processes by seconds. Call this after everything else
  * has been shut down.
  */
 [[noreturn]] void flushAndExit(int status);
 
+/** Writes a line unless @p level is below the lowest level or the event has reached its limit for this second. */
 void write(Level level, std::string_view component, std::string_view event, Fields fields);
 
 inline void debug(std::string_view component, std::string_view event, Fields fields = {})
--- a/paddlepier/base/mailbox.h
+++ b/paddlepier/base/mailbox.h
@@ -21,7 +21,7 @@
 namespace paddlepier
 {
 
-/** Mailbox of closures; drain() is O(1) plus the moved items. */
+/** Mailbox of closures; drain() takes all of them in O(1). */
 class Mailbox
 {
 public:
@@ -43,7 +43,10 @@
         return true;
     }
 
-    /** Like post(), but ignores the limit. For completions, whose number is bounded by the operations that the sender started. */
+    /**
+     * Like post(), but ignores the limit; @p work is discarded if the mailbox is closed. For completions, whose number is bounded by the
+     * operations that the sender started.
+     */
     void postUnbounded(Work work)
     {
         const absl::MutexLock lock(&this->mutex);
@@ -52,7 +55,7 @@
         }
     }
 
-    /** Waits for at most @p timeout for work and returns all of it; empty after a timeout or close(). */
+    /** Waits for work for at most @p timeout and returns all of it; empty after a timeout. After close() it doesn't wait. */
     std::vector<Work> drain(Duration timeout)
     {
         std::vector<Work> drained;
@@ -63,6 +66,7 @@
         return drained;
     }
 
+    /** Discards work that is posted later; work that is already queued can still be drained. */
     void close()
     {
         const absl::MutexLock lock(&this->mutex);
--- a/paddlepier/cluster/authentication.h
+++ b/paddlepier/cluster/authentication.h
@@ -1,11 +1,11 @@
 // Authenticates callers and decides which jobs they may see.
 //
 // The leader decides, using the configuration in its ledger: a key becomes valid or invalid everywhere with the ledger
-// entry that adds or removes it. Whether callers need keys at all is a setting of the deployment; without it every
-// caller is served.
+// entry that adds or removes it. Whether callers need keys at all is a setting of the deployment; if they don't, keys
+// are ignored and every caller is served.
 //
-// A public queue needs no key; a valid key that is sent nevertheless assigns the job to its team. Every caller may see
-// the jobs of a public queue.
+// A public queue needs no key; a valid key that is sent nevertheless assigns the job to its team, and an invalid one is
+// ignored. Every caller may see the jobs of a public queue.
 //
 // Example:
 //     const std::optional<std::string> team = authenticate(state.teams(), queue, call.key, CallerKeys::Required);
@@ -29,10 +29,10 @@
 /** Whether callers must authenticate. */
 enum class CallerKeys { Ignored, Required };
 
-/** @return the caller's team, empty if it needs none; nothing if the queue requires a key and @p key belongs to no team */
+/** @return the caller's team, empty if it has none and needs none; nothing if a key is required and @p key belongs to no team */
 std::optional<std::string> authenticate(const workload::Teams &teams, const work::QueueSpecT &queue, const std::string &key, CallerKeys keys);
 
-/** A job that belongs to a team is visible to that team only, unless its queue is public. */
+/** A job that belongs to a team is visible to that team only, unless its queue is public; a job without a team is visible to every caller. */
 bool canView(const workload::Job &job, const work::QueueSpecT &queue, const std::string &team);
 
 } // namespace paddlepier::cluster
--- a/paddlepier/cluster/heartbeatbatcher.cpp
+++ b/paddlepier/cluster/heartbeatbatcher.cpp
@@ -16,6 +16,8 @@
     const workload::Worker *known = state.findLatestWorker(registration.id);
     const bool isKnown = known != nullptr && workload::incarnationOf(known->registration) == workload::incarnationOf(registration)
                          && workload::isSameRegistration(known->registration, registration);
+    // A draining worker reports its remaining drain time, which a heartbeat doesn't contain. An announcement older than the registration is
+    // stale; the leader answers it without recording it.
     if (!isKnown || registration.isDraining || call.sequence < known->registration.sequence) {
         return false;
     }
--- a/paddlepier/cluster/heartbeatbatcher_test.cpp
+++ b/paddlepier/cluster/heartbeatbatcher_test.cpp
@@ -70,6 +70,7 @@
 TEST_CASE_METHOD(HeartbeatBatcherFixture, "announcement_withAnyChange_isLeftToLeader")
 {
     using Registration = work::RegisterWorkerT;
+    // Older than the registration, whose sequence number is 5.
     CHECK_FALSE(this->isAbsorbed(4, [](Registration &) {}));
     CHECK_FALSE(this->isAbsorbed(6, [](Registration &changed) { changed.id = "v"; }));
     CHECK_FALSE(this->isAbsorbed(6, [](Registration &changed) { changed.born = 900; }));
--- a/paddlepier/cluster/leaderclient.h
+++ b/paddlepier/cluster/leaderclient.h
@@ -1,9 +1,10 @@
-// Sends calls to the leader of the workload ledger, wherever it is.
+// Sends calls to the leader of the workload ledger, and finds the new leader after a change.
 //
-// A call goes to the instance that is believed to lead. An instance that answers NotLeader may name another one; an
-// instance that doesn't answer is skipped in favour of the next core instance. Every call is idempotent, so that it can
-// be sent again. A call ends by its deadline. NotLeader means that the call certainly wasn't accepted, because every
-// attempt was answered with NotLeader; Timeout means that it may have been, or may be later.
+// A call goes to the instance that is believed to lead. An instance that answers NotLeader may name the leader; if an
+// instance doesn't answer, the call is sent to the next core instance (one that may lead). Every call is idempotent, so
+// that it can be sent again. A call that got no result by its deadline ends with NotLeader or Timeout. NotLeader means
+// that it certainly wasn't accepted, because every attempt was answered with NotLeader; Timeout means that it may have
+// been, or may be later.
 //
 // Example:
 //     LeaderClient client(send, firstId);
@@ -41,10 +42,10 @@
     /** @p done is called exactly once, from tick() or receiveReply(). */
     void call(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallDone done);
     void receiveReply(Timestamp now, const std::string &fromInstance, const wire::CallReplyT &reply);
-    /** Retries calls without an answer, and completes those past their deadline. */
+    /** Retries calls that were refused or not answered in time, and completes those past their deadline. */
     void tick(Timestamp now);
 
-    /** When the leader last answered. */
+    /** When an instance last answered as the leader; InfinitePast if none has. */
     Timestamp lastAnswerAt() const;
     std::size_t pendingCalls() const;
 
@@ -57,15 +58,15 @@
         Timestamp nextAttemptAt;
         /** Target of the last attempt; empty if there was none, or if it went to all cores. */
         std::string target;
-        /** Attempts that were neither answered nor refused. */
+        /** Attempts that were not answered with NotLeader, so that each of them may have been accepted. */
         std::uint32_t unresolvedAttempts = 0;
     };
 
     void attempt(Timestamp now, std::uint64_t id, PendingCall &pending);
     void sendTo(const std::string &instance, std::uint64_t id, PendingCall &pending);
     /**
-     * Retries calls that wait for another instance at the new leader at once: at the end of an outage the callers' time budgets are nearly
-     * spent.
+     * Makes calls that wait for another instance due at the next tick(), which sends them to the new leader: at the end of an outage their
+     * deadlines are near.
      */
     void retryAtNewLeader(Timestamp now);
     std::string nextTarget();
--- a/paddlepier/cluster/leaderclient_test.cpp
+++ b/paddlepier/cluster/leaderclient_test.cpp
@@ -110,6 +110,7 @@
 TEST_CASE_METHOD(LeaderClientFixture, "call_oneAttemptUnansweredOthersRefused_endsWithTimeout")
 {
     this->call(absl::Seconds(1));
+    // Longer than the answer timeout, after which the call is sent to another core.
     this->advance(absl::Milliseconds(400));
     REQUIRE(this->sent.size() == 2);
     this->reply(this->sent[1], ErrorCode::NotLeader);
@@ -153,7 +154,7 @@
     this->call(absl::Seconds(2));
     this->advance(absl::Milliseconds(40));
     REQUIRE(this->sent.size() == 1);
-    // Another call finds the leader while the first one waits for an instance that is down.
+    // Another call finds the leader while the first one waits for an instance that is down. It is a Presence call, which goes to all cores.
     this->call(absl::Seconds(2), WorkMethod::Presence);
     const auto leaderRequest = std::find_if(this->sent.begin() + 1, this->sent.end(), [this](const Sent &entry) { return entry.to != this->sent[0].to; });
     REQUIRE(leaderRequest != this->sent.end());
--- a/paddlepier/http/transfersockets.h
+++ b/paddlepier/http/transfersockets.h
@@ -1,9 +1,9 @@
 // The sockets of one thread's transfers: waits for events on them, and tracks which ones are idle between two calls.
 //
-// A wait costs O(events), regardless of the number of open sockets. An idle socket stays registered with epoll, so that a call over a kept
+// A wait costs O(events), regardless of the number of open sockets. An idle socket stays registered with epoll, so that a call over a reused
 // connection needs no system call to register it.
 //
-// A connection can become unresponsive for good without a reset, which only a call that times out reveals. shutDownIdle() then closes the
+// A connection can become unresponsive for good without a reset, which only a call that times out reveals. shutDownIdle() then shuts down the
 // other connections to that address that have been idle since before that call, so that they don't each cost another timeout. Idle
 // connections are also probed by TCP keepalive, so that one that fails between two calls is found closed.
 //
@@ -48,7 +48,10 @@
     TransferSockets(const TransferSockets &) = delete;
     TransferSockets &operator=(const TransferSockets &) = delete;
 
-    /** Sets the options of a new socket: TCP keepalive and a limit on unacknowledged data. */
+    /**
+     * Sets the options of a new socket: TCP keepalive, and how long sent data may stay unacknowledged. Stops tracking an earlier socket with the
+     * same descriptor.
+     */
     void setSocketOptions(int socket);
 
     /** Registers interest in @p socket, over which a call to @p address is in flight, becoming readable, writable or either. */
@@ -69,13 +72,13 @@
     /** Ends the current wait, or the next one. Further calls before that wait ends make no system call. */
     void wake();
 
-    /** Shuts down connections to @p address that have been idle since before @p since. O(connections to the address). */
+    /** Shuts down connections to @p address that have been idle since @p since or longer. O(connections to the address). */
     void shutDownIdle(const std::string &address, Timestamp since);
 
 private:
     struct WatchedSocket {
         std::string address;
-        /** A call has waited for a response on it, so that remove() will be called when it is closed. */
+        /** A call has waited to read from it. The connection was thus established, and remove() will be called before it is closed. */
         bool wasConnected = false;
         /** Events registered with epoll; 0 if the socket isn't registered. */
         std::uint32_t events = 0;
