--- a/paddlepier/cli/jobfile.cpp
+++ b/paddlepier/cli/jobfile.cpp
@@ -29,7 +29,7 @@
         {"batch", wire::JobKind::Batch},
         {"gang", wire::JobKind::Gang},
     }};
-    const std::string text = reader.requiredText("kind");
+    const std::string text = reader.requiredString("kind");
     for (const auto &[name, kind] : kindNames) {
         if (name == text) {
             return kind;
@@ -40,7 +40,7 @@
 
 void readJob(TomlReader &reader, wire::JobSpecT &spec)
 {
-    spec.name = reader.requiredText("name");
+    spec.name = reader.requiredString("name");
     spec.kind = readKind(reader);
     spec.tasks = reader.number("tasks", 1, 1, maxTasks);
     const std::uint32_t processors = reader.number("milliProcessors", 1000, 1, maxMilliProcessors);
@@ -50,10 +50,10 @@
     spec.runSeconds = reader.number("runSeconds", 0, 0, maxSeconds);
     spec.deadlineSeconds = reader.number("deadlineSeconds", 0, 0, maxSeconds);
     spec.priority = static_cast<std::int32_t>(reader.number("priority", 0, 0, maxTasks));
-    spec.urgent = reader.flag("urgent", false);
-    spec.atMostOnce = reader.flag("atMostOnce", false);
+    spec.urgent = reader.boolean("urgent", false);
+    spec.atMostOnce = reader.boolean("atMostOnce", false);
     spec.maxAttempts = reader.number("maxAttempts", spec.maxAttempts, 1, maxTasks);
-    spec.command = reader.optionalText("command", "");
+    spec.command = reader.optionalString("command", "");
 }
 
 } // namespace
--- a/paddlepier/cluster/coreprocess.cpp
+++ b/paddlepier/cluster/coreprocess.cpp
@@ -51,7 +51,7 @@
     options.folder = absl::StrCat(member.settings.dataFolder, "/workload");
     options.instance = member.settings.id;
     options.initialInstances = member.seeds;
-    options.mayBootstrap = core.mayForm;
+    options.mayBootstrap = core.mayBootstrap;
     options.acceptsNewInstances = true;
     options.admission.maxVoters = core.voters;
     options.admission.voterTimeout = voterReplacementDelay;
--- a/paddlepier/cluster/coreprocess.h
+++ b/paddlepier/cluster/coreprocess.h
@@ -27,7 +27,7 @@
 struct CoreOptions {
     WorkOptions work;
     /** First start of the deployment: the replicas on the seeds form the group. */
-    bool mayForm = false;
+    bool mayBootstrap = false;
     /** Number of voters: twice the number of tolerated disk losses, plus one. */
     std::size_t voters = 3;
 };
--- a/paddlepier/http/httpserver.cpp
+++ b/paddlepier/http/httpserver.cpp
@@ -139,7 +139,7 @@
                                     MHD_OPTION_CONNECTION_LIMIT,
                                     static_cast<unsigned int>(limitSettings.connections),
                                     MHD_OPTION_CONNECTION_TIMEOUT,
-                                    static_cast<unsigned int>(absl::ToInt64Seconds(limitSettings.connectionIdle)),
+                                    static_cast<unsigned int>(absl::ToInt64Seconds(limitSettings.connectionIdleTimeout)),
                                     MHD_OPTION_CONNECTION_MEMORY_LIMIT,
                                     maxHeaderBytes,
                                     MHD_OPTION_LISTENING_ADDRESS_REUSE,
--- a/paddlepier/instance/actor.h
+++ b/paddlepier/instance/actor.h
@@ -62,7 +62,7 @@
     }
 };
 
-using CallDone = std::function<void(const CallResult &)>;
+using CallCallback = std::function<void(const CallResult &)>;
 
 } // namespace paddlepier::instance
 
--- a/paddlepier/instance/callrouter.cpp
+++ b/paddlepier/instance/callrouter.cpp
@@ -40,7 +40,8 @@
     return this->pending.size();
 }
 
-void CallRouter::call(Timestamp now, const std::string &dataCentre, rpc::Method method, const Actor &actor, std::string body, Duration timeout, CallDone done)
+void CallRouter::call(
+    Timestamp now, const std::string &dataCentre, rpc::Method method, const Actor &actor, std::string body, Duration timeout, CallCallback done)
 {
     if (this->settings.findLedger(dataCentre) == nullptr) {
         done(CallResult::failure(ErrorCode::WrongDataCentre, absl::StrCat("unknown data centre \"", dataCentre, "\"")));
@@ -154,7 +155,7 @@
 void CallRouter::complete(std::uint64_t id, const CallResult &result)
 {
     const auto found = this->pending.find(id);
-    const CallDone done = std::move(found->second.done);
+    const CallCallback done = std::move(found->second.done);
     this->pending.erase(found);
     done(result);
 }
--- a/paddlepier/instance/callrouter.h
+++ b/paddlepier/instance/callrouter.h
@@ -39,7 +39,7 @@
     void addLocal(const std::string &dataCentre, LedgerService &service);
 
     /** Starts a call that expires after @p timeout. @p done is called exactly once, possibly before this returns. */
-    void call(Timestamp now, const std::string &dataCentre, rpc::Method method, const Actor &actor, std::string body, Duration timeout, CallDone done);
+    void call(Timestamp now, const std::string &dataCentre, rpc::Method method, const Actor &actor, std::string body, Duration timeout, CallCallback done);
 
     void receiveRequest(Timestamp now, const std::string &fromInstance, const std::string &group, const wire::CallRequestT &request);
     void receiveReply(Timestamp now, const std::string &fromInstance, const wire::CallReplyT &reply);
@@ -55,7 +55,7 @@
         rpc::Method method;
         Actor actor;
         std::string body;
-        CallDone done;
+        CallCallback done;
         Timestamp deadline;
         Timestamp nextAttemptAt;
         std::string target;
--- a/paddlepier/instance/configurationstore.cpp
+++ b/paddlepier/instance/configurationstore.cpp
@@ -43,8 +43,8 @@
     if (scan.frames.size() != 1) {
         throw CorruptLogError(absl::StrCat(this->path, ": stored configuration is damaged: expected exactly one valid frame"));
     }
-    this->current = wire::unpack<wire::ConfigurationT>(scan.frames.front());
-    this->onChanged(parseConfiguration(this->current.text, versionName(this->current)));
+    this->currentConfiguration = wire::unpack<wire::ConfigurationT>(scan.frames.front());
+    this->onChanged(parseConfiguration(this->currentConfiguration.text, versionName(this->currentConfiguration)));
 }
 
 void ConfigurationStore::save(const wire::ConfigurationT &configuration) const
@@ -56,21 +56,21 @@
 
 bool ConfigurationStore::offer(const wire::ConfigurationT &configuration)
 {
-    const bool isNewer = configuration.version > this->current.version;
-    if (!isNewer && (this->guards.onlyForward || configuration.version == this->current.version)) {
+    const bool isNewer = configuration.version > this->currentConfiguration.version;
+    if (!isNewer && (this->guards.onlyForward || configuration.version == this->currentConfiguration.version)) {
         return false;
     }
     const DeploymentConfiguration parsed = parseConfiguration(configuration.text, versionName(configuration));
     this->save(configuration);
-    this->current = configuration;
+    this->currentConfiguration = configuration;
     this->onChanged(parsed);
     log::info("configuration", "in-force", {{"version", configuration.version}, {"revision", configuration.revision}});
     return true;
 }
 
-const wire::ConfigurationT &ConfigurationStore::inForce() const
+const wire::ConfigurationT &ConfigurationStore::current() const
 {
-    return this->current;
+    return this->currentConfiguration;
 }
 
 } // namespace paddlepier::instance
--- a/paddlepier/instance/configurationstore.h
+++ b/paddlepier/instance/configurationstore.h
@@ -7,7 +7,7 @@
 //
 // Example:
 //     store.offer(configuration);           // from the ledger or a peer
-//     store.inForce().version;
+//     store.current().version;
 //
 // Thread safety: none; owned by the control thread.
 
@@ -44,7 +44,7 @@
     /** Applies @p configuration if it is newer than the current version. @return true if it was applied */
     bool offer(const wire::ConfigurationT &configuration);
 
-    const wire::ConfigurationT &inForce() const;
+    const wire::ConfigurationT &current() const;
 
 private:
     void load();
@@ -54,7 +54,7 @@
     const Changed onChanged;
     const ConfigurationGuards guards;
     // Invariant: the version never decreases.
-    wire::ConfigurationT current;
+    wire::ConfigurationT currentConfiguration;
 };
 
 } // namespace paddlepier::instance
--- a/paddlepier/instance/instance.cpp
+++ b/paddlepier/instance/instance.cpp
@@ -68,7 +68,7 @@
         auto shared = std::make_shared<wire::PeerFrameT>(std::move(frame));
         this->mailbox.post([this, shared] { this->receive(std::move(*shared)); });
     });
-    const auto callLedger = [this](const std::string &dataCentre, rpc::Method method, std::string body, Duration timeout, const CallDone &done) {
+    const auto callLedger = [this](const std::string &dataCentre, rpc::Method method, std::string body, Duration timeout, const CallCallback &done) {
         // A full mailbox is reported like a ledger that can't be reached in time: by a failed call.
         const bool isAccepted = this->mailbox.post([this, dataCentre, method, body = std::move(body), timeout, done] {
             this->calls->call(controlNow(), dataCentre, method, {this->settings.partner, wire::Role::Administrator}, body, timeout, done);
@@ -220,7 +220,7 @@
 {
     wire::FetchRequestT request;
     request.instance = this->settings.id;
-    request.knownVersion = this->configuration->inForce().version;
+    request.knownVersion = this->configuration->current().version;
     const Actor self{this->settings.partner, wire::Role::Administrator};
     this->calls->call(now, std::string(deploymentLedger), rpc::Method::Fetch, self, wire::pack(request), fetchTimeout, [this](const CallResult &result) {
         if (result.error != ErrorCode::None) {
@@ -235,14 +235,14 @@
 
 void Instance::gossipConfiguration()
 {
-    if (!this->settings.peers.empty() && this->configuration->inForce().version > 0) {
+    if (!this->settings.peers.empty() && this->configuration->current().version > 0) {
         this->offerConfiguration(this->settings.peers[this->nextGossipPeer++ % this->settings.peers.size()].id, false);
     }
 }
 
 void Instance::offerConfiguration(const std::string &instance, bool withText)
 {
-    const wire::ConfigurationT &current = this->configuration->inForce();
+    const wire::ConfigurationT &current = this->configuration->current();
     wire::ConfigurationOfferT offer;
     offer.version = current.version;
     offer.revision = withText ? current.revision : "";
@@ -254,7 +254,7 @@
 
 void Instance::receiveOffer(const std::string &fromInstance, const wire::ConfigurationOfferT &offer)
 {
-    const std::uint64_t own = this->configuration->inForce().version;
+    const std::uint64_t own = this->configuration->current().version;
     if (offer.version < own) {
         this->offerConfiguration(fromInstance, true);
     } else if (offer.version > own && offer.revision.empty() && offer.text.empty()) {
--- a/paddlepier/instance/ledgercalls.cpp
+++ b/paddlepier/instance/ledgercalls.cpp
@@ -86,7 +86,7 @@
     }
 }
 
-void LedgerService::submit(const Actor &actor, const wire::SubmitRequestT &request, const CallDone &done)
+void LedgerService::submit(const Actor &actor, const wire::SubmitRequestT &request, const CallCallback &done)
 {
     this->checkSpec(*request.spec);
     if (request.submissionId.empty() || request.submissionId.size() > maxNameBytes) {
@@ -127,7 +127,7 @@
     return summary;
 }
 
-void LedgerService::list(const Actor &actor, const CallDone &done) const
+void LedgerService::list(const Actor &actor, const CallCallback &done) const
 {
     wire::ListReplyT reply;
     reply.dataCentre = this->node.dataCentre();
@@ -149,7 +149,7 @@
     return *job;
 }
 
-void LedgerService::explain(const Actor &actor, const wire::ExplainRequestT &request, const CallDone &done)
+void LedgerService::explain(const Actor &actor, const wire::ExplainRequestT &request, const CallCallback &done)
 {
     const ledger::Job &job = this->visibleJob(actor, request.job);
     wire::ExplainReplyT reply;
@@ -173,7 +173,7 @@
     succeed(done, reply);
 }
 
-void LedgerService::cancel(const Actor &actor, const wire::CancelRequestT &request, const CallDone &done)
+void LedgerService::cancel(const Actor &actor, const wire::CancelRequestT &request, const CallCallback &done)
 {
     wire::CancelJobT command;
     command.job = this->visibleJob(actor, request.job).id();
@@ -185,7 +185,7 @@
     });
 }
 
-void LedgerService::status(Timestamp now, const CallDone &done)
+void LedgerService::status(Timestamp now, const CallCallback &done)
 {
     const ledger::Ledger &state = this->node.state();
     const ledger::LeaseTable &leases = this->ensureTerm().leases;
@@ -212,14 +212,14 @@
         summary->tasks = static_cast<std::uint32_t>(worker.tasks().size());
         summary->draining = worker.isDraining();
         summary->reachable = leases.isReachable(now, name);
-        const Duration silence = leases.silence(now, name);
+        const Duration silence = leases.timeSinceAnnouncement(now, name);
         summary->silentMillis = silence == absl::InfiniteDuration() ? 0 : static_cast<std::uint64_t>(absl::ToInt64Milliseconds(silence));
         reply.workers.push_back(std::move(summary));
     }
     succeed(done, reply);
 }
 
-void LedgerService::drain(const Actor &actor, const wire::DrainRequestT &request, const CallDone &done)
+void LedgerService::drain(const Actor &actor, const wire::DrainRequestT &request, const CallCallback &done)
 {
     const ledger::Worker *worker = this->node.state().findWorker(request.worker);
     if (worker == nullptr) {
@@ -239,7 +239,7 @@
     });
 }
 
-void LedgerService::announce(Timestamp now, const Actor &actor, const wire::AnnounceRequestT &request, const CallDone &done)
+void LedgerService::announce(Timestamp now, const Actor &actor, const wire::AnnounceRequestT &request, const CallCallback &done)
 {
     if (request.dataCentre != this->node.dataCentre()) {
         throw WrongDataCentreError(absl::StrCat("this ledger belongs to ", this->node.dataCentre(), ", the announcement to ", request.dataCentre));
@@ -270,7 +270,7 @@
     succeed(done, result.reply);
 }
 
-void LedgerService::allocateShares(Timestamp now, const wire::SharesRequestT &request, const CallDone &done)
+void LedgerService::allocateShares(Timestamp now, const wire::SharesRequestT &request, const CallCallback &done)
 {
     Term &current = this->ensureTerm();
     std::vector<routing::ServingWorker> serving;
@@ -286,7 +286,7 @@
     succeed(done, current.allocator.allocate(now, request, serving));
 }
 
-void LedgerService::begin(const wire::BeginRequestT &request, const CallDone &done)
+void LedgerService::begin(const wire::BeginRequestT &request, const CallCallback &done)
 {
     wire::OpenRequestT command;
     command.partner = request.partner;
@@ -314,7 +314,7 @@
     });
 }
 
-void LedgerService::finish(const wire::FinishRequestT &request, const CallDone &done)
+void LedgerService::finish(const wire::FinishRequestT &request, const CallCallback &done)
 {
     wire::CloseRequestT command;
     command.partner = request.partner;
@@ -339,7 +339,7 @@
     }
 }
 
-void LedgerService::changeConfiguration(const wire::ChangeRequestT &request, const CallDone &done)
+void LedgerService::changeConfiguration(const wire::ChangeRequestT &request, const CallCallback &done)
 {
     if (request.revision.empty() || request.revision.size() > maxNameBytes) {
         throw InvalidArgumentError(absl::StrCat("revision must have 1 to ", maxNameBytes, " bytes"));
@@ -357,7 +357,7 @@
     });
 }
 
-void LedgerService::fetchConfiguration(Timestamp now, const wire::FetchRequestT &request, const CallDone &done)
+void LedgerService::fetchConfiguration(Timestamp now, const wire::FetchRequestT &request, const CallCallback &done)
 {
     this->ensureTerm().instanceVersions[request.instance] = {request.knownVersion, now};
     wire::FetchReplyT reply;
@@ -367,7 +367,7 @@
     succeed(done, reply);
 }
 
-void LedgerService::showConfiguration(Timestamp now, const CallDone &done)
+void LedgerService::showConfiguration(Timestamp now, const CallCallback &done)
 {
     const auto &versions = this->ensureTerm().instanceVersions;
     std::vector<std::string> instances{this->settings.id};
--- a/paddlepier/instance/ledgernode.cpp
+++ b/paddlepier/instance/ledgernode.cpp
@@ -21,8 +21,8 @@
     options.folder = absl::StrCat(settings.dataFolder, "/", group.dataCentre);
     options.instance = settings.id;
     options.initialInstances = group.replicas;
-    options.heartbeatInterval = settings.timing.heartbeat;
-    options.electionTimeout = settings.timing.election;
+    options.heartbeatInterval = settings.timing.heartbeatInterval;
+    options.electionTimeout = settings.timing.electionTimeout;
     options.driftPerMille = settings.timing.driftPerMille;
     return options;
 }
--- a/paddlepier/instance/ledgerreplies.h
+++ b/paddlepier/instance/ledgerreplies.h
@@ -23,7 +23,7 @@
 }
 
 template<typename Reply>
-void succeed(const CallDone &done, const Reply &reply)
+void succeed(const CallCallback &done, const Reply &reply)
 {
     done(CallResult::success(wire::pack(reply)));
 }
--- a/paddlepier/instance/ledgerservice.cpp
+++ b/paddlepier/instance/ledgerservice.cpp
@@ -88,7 +88,7 @@
     return result;
 }
 
-void LedgerService::execute(Timestamp now, Method method, const Actor &actor, const std::string &body, const CallDone &done)
+void LedgerService::execute(Timestamp now, Method method, const Actor &actor, const std::string &body, const CallCallback &done)
 {
     if (!this->node.isServing(now)) {
         done(this->notLeader());
@@ -101,7 +101,7 @@
     }
 }
 
-void LedgerService::dispatch(Timestamp now, Method method, const Actor &actor, const std::string &body, const CallDone &done)
+void LedgerService::dispatch(Timestamp now, Method method, const Actor &actor, const std::string &body, const CallCallback &done)
 {
     switch (method) {
     case Method::Submit:
@@ -153,7 +153,7 @@
     if (found == current.heldAnnouncements.end()) {
         return;
     }
-    const std::optional<wire::AnnounceReplyT> reply = current.leases.replyNow(found->second.request, this->node.state());
+    const std::optional<wire::AnnounceReplyT> reply = current.leases.currentReply(found->second.request, this->node.state());
     if (reply && requiresAction(found->second.request, *reply)) {
         succeed(found->second.done, *reply);
         current.heldAnnouncements.erase(found);
@@ -171,7 +171,7 @@
             ++entry;
             continue;
         }
-        const std::optional<wire::AnnounceReplyT> reply = this->term->leases.replyNow(entry->second.request, this->node.state());
+        const std::optional<wire::AnnounceReplyT> reply = this->term->leases.currentReply(entry->second.request, this->node.state());
         if (reply) {
             succeed(entry->second.done, *reply);
         } else {
@@ -181,7 +181,7 @@
     }
 }
 
-void LedgerService::proposeAndReply(wire::CommandUnion command, const CallDone &done, std::function<void(const ledger::Applied &)> succeeded)
+void LedgerService::proposeAndReply(wire::CommandUnion command, const CallCallback &done, std::function<void(const ledger::Applied &)> succeeded)
 {
     this->node.propose(std::move(command), [done, succeeded = std::move(succeeded)](const ledger::Applied &applied) {
         if (applied.error != ErrorCode::None) {
--- a/paddlepier/instance/ledgerservice.h
+++ b/paddlepier/instance/ledgerservice.h
@@ -33,7 +33,7 @@
      * Executes a call received by this replica; fails with `NotLeader` on a follower. @p done is called exactly once, possibly
      * before this returns.
      */
-    void execute(Timestamp now, rpc::Method method, const Actor &actor, const std::string &body, const CallDone &done);
+    void execute(Timestamp now, rpc::Method method, const Actor &actor, const std::string &body, const CallCallback &done);
 
     /** Applies the partners' quotas of @p deployment to placement. */
     void setConfiguration(const DeploymentConfiguration &deployment);
@@ -48,7 +48,7 @@
     /** A long-polling announcement: its reply is delayed until the worker has to act, at most until expiresAt. */
     struct HeldAnnouncement {
         wire::AnnounceRequestT request;
-        CallDone done;
+        CallCallback done;
         Timestamp expiresAt;
     };
 
@@ -73,22 +73,22 @@
     /** The state of the current term; created on its first use in the term. */
     Term &ensureTerm();
     CallResult notLeader() const;
-    void dispatch(Timestamp now, rpc::Method method, const Actor &actor, const std::string &body, const CallDone &done);
+    void dispatch(Timestamp now, rpc::Method method, const Actor &actor, const std::string &body, const CallCallback &done);
 
-    void submit(const Actor &actor, const wire::SubmitRequestT &request, const CallDone &done);
+    void submit(const Actor &actor, const wire::SubmitRequestT &request, const CallCallback &done);
     void checkSpec(const wire::JobSpecT &spec) const;
-    void list(const Actor &actor, const CallDone &done) const;
-    void explain(const Actor &actor, const wire::ExplainRequestT &request, const CallDone &done);
-    void cancel(const Actor &actor, const wire::CancelRequestT &request, const CallDone &done);
-    void status(Timestamp now, const CallDone &done);
-    void drain(const Actor &actor, const wire::DrainRequestT &request, const CallDone &done);
-    void announce(Timestamp now, const Actor &actor, const wire::AnnounceRequestT &request, const CallDone &done);
-    void allocateShares(Timestamp now, const wire::SharesRequestT &request, const CallDone &done);
-    void begin(const wire::BeginRequestT &request, const CallDone &done);
-    void finish(const wire::FinishRequestT &request, const CallDone &done);
-    void changeConfiguration(const wire::ChangeRequestT &request, const CallDone &done);
-    void fetchConfiguration(Timestamp now, const wire::FetchRequestT &request, const CallDone &done);
-    void showConfiguration(Timestamp now, const CallDone &done);
+    void list(const Actor &actor, const CallCallback &done) const;
+    void explain(const Actor &actor, const wire::ExplainRequestT &request, const CallCallback &done);
+    void cancel(const Actor &actor, const wire::CancelRequestT &request, const CallCallback &done);
+    void status(Timestamp now, const CallCallback &done);
+    void drain(const Actor &actor, const wire::DrainRequestT &request, const CallCallback &done);
+    void announce(Timestamp now, const Actor &actor, const wire::AnnounceRequestT &request, const CallCallback &done);
+    void allocateShares(Timestamp now, const wire::SharesRequestT &request, const CallCallback &done);
+    void begin(const wire::BeginRequestT &request, const CallCallback &done);
+    void finish(const wire::FinishRequestT &request, const CallCallback &done);
+    void changeConfiguration(const wire::ChangeRequestT &request, const CallCallback &done);
+    void fetchConfiguration(Timestamp now, const wire::FetchRequestT &request, const CallCallback &done);
+    void showConfiguration(Timestamp now, const CallCallback &done);
 
     /** @throws UnknownJobError if there is no such job or it belongs to another partner */
     const ledger::Job &visibleJob(const Actor &actor, const std::string &name) const;
@@ -99,7 +99,7 @@
     void answerHeld(Timestamp now, const std::vector<std::string> &changedWorkers);
     void answerHeldIfActionable(const std::string &worker);
     /** Proposes the command of a call. Calls @p succeeded with the result once applied, or @p done with the failure. */
-    void proposeAndReply(wire::CommandUnion command, const CallDone &done, std::function<void(const ledger::Applied &)> succeeded);
+    void proposeAndReply(wire::CommandUnion command, const CallCallback &done, std::function<void(const ledger::Applied &)> succeeded);
     void proposeAll(std::vector<wire::CommandUnion> commands);
 
     const Settings &settings;
--- a/paddlepier/instance/quickservice.h
+++ b/paddlepier/instance/quickservice.h
@@ -37,7 +37,7 @@
 class QuickService
 {
 public:
-    using LedgerCall = std::function<void(const std::string &dataCentre, rpc::Method method, std::string body, Duration timeout, CallDone done)>;
+    using LedgerCall = std::function<void(const std::string &dataCentre, rpc::Method method, std::string body, Duration timeout, CallCallback done)>;
 
     QuickService(const Settings &instanceSettings, Counters &counters, LedgerCall ledgerCall, std::uint64_t seed);
     ~QuickService();
--- a/paddlepier/ledger/job.cpp
+++ b/paddlepier/ledger/job.cpp
@@ -155,7 +155,7 @@
     return index < this->taskList.size() && this->taskList[index].epoch == epoch && isActive(this->taskList[index].state);
 }
 
-bool Job::started(std::uint32_t index, std::uint64_t epoch, std::int64_t atMicros)
+bool Job::markStarted(std::uint32_t index, std::uint64_t epoch, std::int64_t atMicros)
 {
     if (!this->holds(index, epoch)) {
         return false;
@@ -226,13 +226,13 @@
     }
 }
 
-std::vector<Released> Job::ended(std::uint32_t index, std::uint64_t epoch, AttemptEnd end, std::int64_t atMicros)
+std::vector<ReleasedReservation> Job::endAttempt(std::uint32_t index, std::uint64_t epoch, AttemptEnd end, std::int64_t atMicros)
 {
     if (!this->holds(index, epoch)) {
         return {};
     }
     wire::TaskRecordT &task = this->taskList[index];
-    std::vector<Released> released{{{this->id(), index}, task.worker}};
+    std::vector<ReleasedReservation> released{{{this->id(), index}, task.worker}};
     this->endTask(task, end, atMicros);
     if (this->spec().kind == JobKind::Gang && task.state != TaskState::Succeeded && task.state != TaskState::Cancelled) {
         this->data.gangRestarting = true;
@@ -293,7 +293,7 @@
     this->recordEnd(atMicros);
 }
 
-void Job::move(std::uint32_t index)
+void Job::requestMove(std::uint32_t index)
 {
     if (isActive(this->taskList[index].state)) {
         this->setState(this->taskList[index], TaskState::Stopping);
--- a/paddlepier/ledger/job.h
+++ b/paddlepier/ledger/job.h
@@ -36,7 +36,7 @@
 enum class AttemptEnd { Succeeded, Failed, Stopped, NeverStarted, Unknown };
 
 /** A reservation that has ended with an attempt and must be released. */
-struct Released {
+struct ReleasedReservation {
     TaskId task;
     std::string worker;
 };
@@ -69,12 +69,12 @@
     void place(std::uint32_t index, const std::string &worker, std::uint64_t epoch);
 
     /** @return false if the lease is not the task's current one */
-    bool started(std::uint32_t index, std::uint64_t epoch, std::int64_t atMicros);
-    std::vector<Released> ended(std::uint32_t index, std::uint64_t epoch, AttemptEnd end, std::int64_t atMicros);
+    bool markStarted(std::uint32_t index, std::uint64_t epoch, std::int64_t atMicros);
+    std::vector<ReleasedReservation> endAttempt(std::uint32_t index, std::uint64_t epoch, AttemptEnd end, std::int64_t atMicros);
     /** Cancels the job: queued tasks end at once, active tasks when they have stopped. */
     void cancel(std::int64_t atMicros);
     /** Requests a stop of the task, after which it is queued again. */
-    void move(std::uint32_t index);
+    void requestMove(std::uint32_t index);
 
     /** True if (index, epoch) is the current lease of an active task. */
     bool holds(std::uint32_t index, std::uint64_t epoch) const;
--- a/paddlepier/ledger/job_test.cpp
+++ b/paddlepier/ledger/job_test.cpp
@@ -33,9 +33,9 @@
         for (; starts < maxStarts && !job.hasEnded(); ++starts) {
             this->now = std::max(this->now, job.nextPlaceableAt());
             job.place(0, "w", starts + 1);
-            job.started(0, starts + 1, this->now);
+            job.markStarted(0, starts + 1, this->now);
             this->now += microsPerSecond;
-            job.ended(0, starts + 1, AttemptEnd::Unknown, this->now);
+            job.endAttempt(0, starts + 1, AttemptEnd::Unknown, this->now);
         }
         return starts;
     }
@@ -74,9 +74,9 @@
     this->loseWorkers(job, 6);
     this->now = std::max(this->now, job.nextPlaceableAt());
     job.place(0, "w", 100);
-    job.started(0, 100, this->now);
+    job.markStarted(0, 100, this->now);
     this->now += 120 * microsPerSecond;
-    job.ended(0, 100, AttemptEnd::Unknown, this->now);
+    job.endAttempt(0, 100, AttemptEnd::Unknown, this->now);
     CHECK(job.nextPlaceableAt() <= this->now);
 }
 
@@ -84,8 +84,8 @@
 {
     Job job = make(wire::JobKind::Batch);
     job.place(0, "w", 1);
-    job.move(0);
-    job.ended(0, 1, AttemptEnd::Unknown, this->now);
+    job.requestMove(0);
+    job.endAttempt(0, 1, AttemptEnd::Unknown, this->now);
     CHECK(job.tasks()[0].losses == 0);
     CHECK(job.state() == wire::TaskState::Queued);
 }
--- a/paddlepier/ledger/leasetable.cpp
+++ b/paddlepier/ledger/leasetable.cpp
@@ -111,7 +111,7 @@
     return reply;
 }
 
-std::optional<wire::AnnounceReplyT> LeaseTable::replyNow(const wire::AnnounceRequestT &request, const Ledger &ledger)
+std::optional<wire::AnnounceReplyT> LeaseTable::currentReply(const wire::AnnounceRequestT &request, const Ledger &ledger)
 {
     const auto contact = this->contacts.find(request.worker);
     const Worker *worker = ledger.findWorker(request.worker);
@@ -310,10 +310,10 @@
 
 bool LeaseTable::isReachable(Timestamp now, const std::string &worker) const
 {
-    return this->silence(now, worker) < this->timing.workerSilence;
+    return this->timeSinceAnnouncement(now, worker) < this->timing.workerTimeout;
 }
 
-Duration LeaseTable::silence(Timestamp now, const std::string &worker) const
+Duration LeaseTable::timeSinceAnnouncement(Timestamp now, const std::string &worker) const
 {
     const auto found = this->contacts.find(worker);
     return found == this->contacts.end() ? absl::InfiniteDuration() : now - found->second.lastAnnouncedAt;
--- a/paddlepier/ledger/leasetable.h
+++ b/paddlepier/ledger/leasetable.h
@@ -71,7 +71,7 @@
     AnnouncementResult announce(Timestamp now, const wire::AnnounceRequestT &request, const Ledger &ledger);
 
     /** The reply to the newest announcement from the current state; nothing if @p request is no longer the worker's newest. */
-    std::optional<wire::AnnounceReplyT> replyNow(const wire::AnnounceRequestT &request, const Ledger &ledger);
+    std::optional<wire::AnnounceReplyT> currentReply(const wire::AnnounceRequestT &request, const Ledger &ledger);
 
     /** Commands that end expired leases, repeated until they are applied, and that remove workers without tasks after a long silence. */
     std::vector<wire::CommandUnion> expire(Timestamp now, const Ledger &ledger);
@@ -80,7 +80,7 @@
     bool isReachable(Timestamp now, const std::string &worker) const;
 
     /** Time since the worker's last announcement; infinite if there was none under this leader. */
-    Duration silence(Timestamp now, const std::string &worker) const;
+    Duration timeSinceAnnouncement(Timestamp now, const std::string &worker) const;
 
     /** Lower bound of the worker's clock at @p now; nothing if the worker has sent no announcement to this leader. */
     std::optional<std::int64_t> workerClock(Timestamp now, const std::string &worker) const;
--- a/paddlepier/ledger/ledger.cpp
+++ b/paddlepier/ledger/ledger.cpp
@@ -174,7 +174,7 @@
     for (const TaskId &task : worker.tasks()) {
         Job &job = this->jobById.at(task.job);
         if (job.spec().kind == wire::JobKind::Service) {
-            this->changeJob(job, [&task](Job &changed) { changed.move(task.index); });
+            this->changeJob(job, [&task](Job &changed) { changed.requestMove(task.index); });
         }
     }
 }
@@ -297,7 +297,7 @@
     return applied;
 }
 
-void Ledger::release(const Job &job, const Released &released)
+void Ledger::release(const Job &job, const ReleasedReservation &released)
 {
     const auto worker = this->workerByName.find(released.worker);
     if (worker != this->workerByName.end()) {
@@ -318,10 +318,10 @@
     if (job.tasks()[lease.index()].worker != worker) {
         return;
     }
-    std::vector<Released> released;
+    std::vector<ReleasedReservation> released;
     const std::int64_t at = this->appliedMicros;
-    this->changeJob(job, [&](Job &changed) { released = changed.ended(lease.index(), lease.epoch(), end, at); });
-    for (const Released &reservation : released) {
+    this->changeJob(job, [&](Job &changed) { released = changed.endAttempt(lease.index(), lease.epoch(), end, at); });
+    for (const ReleasedReservation &reservation : released) {
         this->release(job, reservation);
     }
 }
@@ -339,7 +339,7 @@
         const auto found = this->jobById.find(lease.job());
         if (found != this->jobById.end()) {
             const std::int64_t at = this->appliedMicros;
-            this->changeJob(found->second, [&lease, at](Job &job) { job.started(lease.index(), lease.epoch(), at); });
+            this->changeJob(found->second, [&lease, at](Job &job) { job.markStarted(lease.index(), lease.epoch(), at); });
         }
     }
     for (const std::unique_ptr<wire::FinishedAttemptT> &finished : command.finished) {
--- a/paddlepier/ledger/ledger.h
+++ b/paddlepier/ledger/ledger.h
@@ -113,7 +113,7 @@
     bool reserveFor(const wire::PlacementT &placement);
     void endAttempt(const wire::TaskLease &lease, const std::string &worker, AttemptEnd end);
     void endAttempts(const std::vector<wire::TaskLease> &leases, const std::string &worker, AttemptEnd end);
-    void release(const Job &job, const Released &released);
+    void release(const Job &job, const ReleasedReservation &released);
     /** Moves the services off @p worker if it is draining; tasks of other kinds stay until they end. */
     void moveServices(const Worker &worker);
     template<typename Change>
--- a/paddlepier/routing/quickrouter.cpp
+++ b/paddlepier/routing/quickrouter.cpp
@@ -257,7 +257,7 @@
     if (found == this->backends.end()) {
         return;
     }
-    if (end == AttemptEnd::Broken && this->guards.holdSlotOfBroken) {
+    if (end == AttemptEnd::Broken && this->guards.holdSlotOfBrokenAttempt) {
         this->heldSlots.emplace(flight.started + this->limits.maxRequestTime + stopMargin, this->nextAttempt++, flight.target);
     } else {
         --found->second.inUse;
@@ -296,7 +296,7 @@
     if (end == AttemptEnd::NotSent || end == AttemptEnd::Refused) {
         return !pending.mayHaveRun || pending.request.isIdempotent;
     }
-    const bool mayRepeat = pending.request.isIdempotent || !this->guards.repeatOnlyIdempotent;
+    const bool mayRepeat = pending.request.isIdempotent || !this->guards.retryOnlyIdempotent;
     if (!mayRepeat || this->retryTokens < 1) {
         return false;
     }
--- a/paddlepier/routing/quickrouter.h
+++ b/paddlepier/routing/quickrouter.h
@@ -110,8 +110,8 @@
 /** Safety checks. Only tests disable them, to show that the tests detect the resulting violations. */
 struct RouterGuards {
     bool respectShare = true;
-    bool holdSlotOfBroken = true;
-    bool repeatOnlyIdempotent = true;
+    bool holdSlotOfBrokenAttempt = true;
+    bool retryOnlyIdempotent = true;
 };
 
 class QuickRouter
--- a/paddlepier/routing/quickrouter_test.cpp
+++ b/paddlepier/routing/quickrouter_test.cpp
@@ -157,14 +157,14 @@
 TEST_CASE("router_slotOfBrokenAttemptReleasedEarly_isCaught", "[proof][red]")
 {
     RouterGuards guards;
-    guards.holdSlotOfBroken = false;
+    guards.holdSlotOfBrokenAttempt = false;
     REQUIRE(violatesInSomeScenario(guards));
 }
 
 TEST_CASE("router_nonIdempotentRequestRepeated_isCaught", "[proof][red]")
 {
     RouterGuards guards;
-    guards.repeatOnlyIdempotent = false;
+    guards.retryOnlyIdempotent = false;
     REQUIRE(violatesInSomeScenario(guards));
 }
 
--- a/paddlepier/routing/shareallocator.cpp
+++ b/paddlepier/routing/shareallocator.cpp
@@ -145,7 +145,7 @@
         const std::uint32_t freeSlots = worker.slots > others ? worker.slots - others : 0;
         std::uint32_t &held = holder.held[worker.name];
         const std::uint32_t targetSlots = this->target(request.partner, request.instance, worker, position);
-        const std::uint32_t slots = std::min(targetSlots, canRedistribute || worker.isFresh ? freeSlots : std::min(freeSlots, held));
+        const std::uint32_t slots = std::min(targetSlots, canRedistribute || worker.isNewUnderThisLeader ? freeSlots : std::min(freeSlots, held));
         held = std::max(held, slots);
         const auto before = holder.granted.find(worker.name);
         const std::uint32_t grantedBefore = before == holder.granted.end() ? 0 : before->second;
--- a/paddlepier/routing/shareallocator.h
+++ b/paddlepier/routing/shareallocator.h
@@ -45,7 +45,7 @@
     /** Lower bound of the current reading of the worker's own clock. */
     std::int64_t clockMicros = 0;
     /** First registered under this leader, so that no earlier leader can have allocated its slots. */
-    bool isFresh = false;
+    bool isNewUnderThisLeader = false;
 };
 
 /** Safety checks. Only tests disable them, to show that the tests detect the resulting violations. */
--- a/paddlepier/scheduling/cell_test.cpp
+++ b/paddlepier/scheduling/cell_test.cpp
@@ -75,7 +75,7 @@
     {
         this->timing.taskLease = absl::Seconds(2);
         this->timing.announceInterval = absl::Milliseconds(200);
-        this->timing.workerSilence = absl::Milliseconds(700);
+        this->timing.workerTimeout = absl::Milliseconds(700);
         this->timing.driftPerMille = 100;
         for (std::size_t index = 0; index < workerCount; ++index) {
             FakeWorker worker;
@@ -313,7 +313,7 @@
             }
             const Announcement announcement = std::move(this->heldAnnouncements[index]);
             this->heldAnnouncements.erase(this->heldAnnouncements.begin() + static_cast<std::ptrdiff_t>(index));
-            std::optional<wire::AnnounceReplyT> reply = this->leases->replyNow(announcement.request, this->state);
+            std::optional<wire::AnnounceReplyT> reply = this->leases->currentReply(announcement.request, this->state);
             if (reply) {
                 this->replies.push_back({this->now + this->networkDelay(), announcement.worker, announcement.request.clockMicros, std::move(*reply)});
             }
--- a/paddlepier/scheduling/policies.h
+++ b/paddlepier/scheduling/policies.h
@@ -26,7 +26,7 @@
     {
         policy.choose(index, need)
         } -> std::same_as<const Candidate *>;
-    policy.chose(chosen);
+    policy.recordChoice(chosen);
 };
 
 /** Batch jobs and gangs: the worker that fits best, which leaves workers with much free capacity to large tasks. */
@@ -38,7 +38,7 @@
         return index.bestFit(need);
     }
 
-    void chose(const Candidate &) const
+    void recordChoice(const Candidate &) const
     {
     }
 };
@@ -71,7 +71,7 @@
         return best;
     }
 
-    void chose(const Candidate &candidate)
+    void recordChoice(const Candidate &candidate)
     {
         ++this->tasksInRack[candidate.rack];
         ++this->tasksOnWorker[candidate.worker];
--- a/paddlepier/scheduling/scheduler.cpp
+++ b/paddlepier/scheduling/scheduler.cpp
@@ -257,7 +257,7 @@
         auto group = std::make_unique<wire::PlacementGroupT>();
         group->placements.push_back(toPlacement(job, task, chosen->worker));
         round.command.groups.push_back(std::move(group));
-        policy.chose(*chosen);
+        policy.recordChoice(*chosen);
         this->index.reserve(chosen->worker, job.spec().resources);
         round.countPlacement(job);
     }
--- a/paddlepier/settings/settings.cpp
+++ b/paddlepier/settings/settings.cpp
@@ -37,7 +37,7 @@
 
 std::string readIdentifier(TomlReader &reader, std::string_view key)
 {
-    std::string text = reader.requiredText(key);
+    std::string text = reader.requiredString(key);
     if (!isIdentifier(text)) {
         reader.fail(key, "must have 1 to 64 characters out of a-z, 0-9 and -");
     }
@@ -46,7 +46,7 @@
 
 Endpoint readEndpoint(TomlReader &reader, std::string_view key)
 {
-    const std::string text = reader.requiredText(key);
+    const std::string text = reader.requiredString(key);
     const std::optional<Endpoint> endpoint = Endpoint::parse(text);
     if (!endpoint) {
         reader.fail(key, absl::StrCat("\"", text, "\" is not a numeric IP address with a port, such as 127.0.0.1:8100"));
@@ -56,7 +56,7 @@
 
 wire::Role readRole(TomlReader &reader)
 {
-    const std::string text = reader.requiredText("role");
+    const std::string text = reader.requiredString("role");
     static constexpr std::array<std::pair<std::string_view, wire::Role>, 4> roleNames{{
         {"viewer", wire::Role::Viewer},
         {"operator", wire::Role::Operator},
@@ -76,8 +76,8 @@
     settings.id = readIdentifier(reader, "id");
     settings.partner = readIdentifier(reader, "partner");
     settings.dataCentre = readIdentifier(reader, "dataCentre");
-    settings.dataFolder = reader.optionalText("dataFolder", "");
-    const std::string level = reader.optionalText("logLevel", "info");
+    settings.dataFolder = reader.optionalString("dataFolder", "");
+    const std::string level = reader.optionalString("logLevel", "info");
     try {
         settings.logLevel = log::levelFromName(level);
     } catch (const InvalidSettingsError &error) {
@@ -92,7 +92,7 @@
     limits.bodyBytes = reader.number("bodyBytes", limits.bodyBytes, 1024, 64U << 20U);
     limits.queuedRequests = reader.number("queuedRequests", limits.queuedRequests, 1, 100000);
     limits.requestDeadline = reader.milliseconds("requestDeadlineMillis", limits.requestDeadline, absl::Milliseconds(10), absl::Minutes(5));
-    limits.connectionIdle = reader.milliseconds("connectionIdleMillis", limits.connectionIdle, absl::Seconds(1), absl::Minutes(10));
+    limits.connectionIdleTimeout = reader.milliseconds("connectionIdleMillis", limits.connectionIdleTimeout, absl::Seconds(1), absl::Minutes(10));
 }
 
 void readTiming(TomlReader &reader, TimingSettings &timing)
@@ -100,19 +100,19 @@
     const Duration minTime = absl::Milliseconds(10);
     const Duration maxTime = absl::Minutes(10);
     timing.announceInterval = reader.milliseconds("announceMillis", timing.announceInterval, minTime, maxTime);
-    timing.workerSilence = reader.milliseconds("workerSilenceMillis", timing.workerSilence, minTime, maxTime);
+    timing.workerTimeout = reader.milliseconds("workerSilenceMillis", timing.workerTimeout, minTime, maxTime);
     timing.taskLease = reader.milliseconds("taskLeaseMillis", timing.taskLease, minTime, maxTime);
     timing.shareLease = reader.milliseconds("shareLeaseMillis", timing.shareLease, minTime, maxTime);
-    timing.heartbeat = reader.milliseconds("heartbeatMillis", timing.heartbeat, minTime, maxTime);
-    timing.election = reader.milliseconds("electionMillis", timing.election, minTime, maxTime);
+    timing.heartbeatInterval = reader.milliseconds("heartbeatMillis", timing.heartbeatInterval, minTime, maxTime);
+    timing.electionTimeout = reader.milliseconds("electionMillis", timing.electionTimeout, minTime, maxTime);
     timing.driftPerMille = reader.number("driftPerMille", timing.driftPerMille, 0, 200);
     if (timing.taskLease <= 2 * timing.announceInterval) {
         reader.fail("taskLeaseMillis", "must be more than twice announceMillis");
     }
-    if (timing.workerSilence <= timing.announceInterval) {
+    if (timing.workerTimeout <= timing.announceInterval) {
         reader.fail("workerSilenceMillis", "must be more than announceMillis");
     }
-    if (timing.election < 3 * timing.heartbeat) {
+    if (timing.electionTimeout < 3 * timing.heartbeatInterval) {
         reader.fail("electionMillis", "must be at least three times heartbeatMillis");
     }
 }
@@ -131,7 +131,7 @@
 TokenSettings readToken(TomlReader &reader)
 {
     TokenSettings token;
-    token.token = reader.requiredText("token");
+    token.token = reader.requiredString("token");
     if (token.token.size() < minSecretLength) {
         reader.fail("token", absl::StrCat("must have at least ", minSecretLength, " characters"));
     }
@@ -144,7 +144,7 @@
 {
     LedgerSettings ledger;
     ledger.dataCentre = readIdentifier(reader, "dataCentre");
-    ledger.replicas = reader.requiredTexts("replicas");
+    ledger.replicas = reader.requiredStrings("replicas");
     for (const std::string &replica : ledger.replicas) {
         if (replica != settings.id && settings.findPeer(replica) == nullptr) {
             reader.fail("replicas", absl::StrCat("\"", replica, "\" is neither this instance nor one of the peers"));
@@ -182,7 +182,7 @@
         settings.peer = readEndpoint(reader, "peer");
     });
     root.table("cell", true, [&settings](TomlReader &reader) {
-        settings.cellKey = reader.requiredText("key");
+        settings.cellKey = reader.requiredString("key");
         if (settings.cellKey.size() < minSecretLength) {
             reader.fail("key", absl::StrCat("must have at least ", minSecretLength, " characters"));
         }
@@ -239,7 +239,7 @@
     return found == this->ledgers.end() ? nullptr : &*found;
 }
 
-std::vector<std::string> Settings::entriesOf(std::string_view entryPartner) const
+std::vector<std::string> Settings::entryInstancesOf(std::string_view entryPartner) const
 {
     std::vector<std::string> entries;
     if (this->partner == entryPartner) {
--- a/paddlepier/settings/settings.h
+++ b/paddlepier/settings/settings.h
@@ -70,17 +70,17 @@
     std::uint32_t bodyBytes = 1 << 20;
     std::uint32_t queuedRequests = 512;
     Duration requestDeadline = absl::Seconds(10);
-    Duration connectionIdle = absl::Seconds(15);
+    Duration connectionIdleTimeout = absl::Seconds(15);
 };
 
 /** Times on which the guarantees depend; they must be equal in all instances of a data centre. */
 struct TimingSettings {
     Duration announceInterval = absl::Seconds(1);
-    Duration workerSilence = absl::Seconds(3);
+    Duration workerTimeout = absl::Seconds(3);
     Duration taskLease = absl::Seconds(10);
     Duration shareLease = absl::Milliseconds(1500);
-    Duration heartbeat = absl::Milliseconds(100);
-    Duration election = absl::Milliseconds(500);
+    Duration heartbeatInterval = absl::Milliseconds(100);
+    Duration electionTimeout = absl::Milliseconds(500);
     /** Maximum difference in rate between two clocks, in parts per thousand. */
     std::uint32_t driftPerMille = 10;
 };
@@ -110,7 +110,7 @@
     const LedgerSettings *findLedger(std::string_view dataCentre) const;
 
     /** Entry instances of a partner in this data centre, including this instance. */
-    std::vector<std::string> entriesOf(std::string_view entryPartner) const;
+    std::vector<std::string> entryInstancesOf(std::string_view entryPartner) const;
 
     /** Data centres that have a ledger, in the order of the settings, without the deployment's ledger. */
     std::vector<std::string> dataCentres() const;
--- a/paddlepier/settings/settings_test.cpp
+++ b/paddlepier/settings/settings_test.cpp
@@ -73,7 +73,7 @@
     REQUIRE(settings.timing.taskLease == absl::Seconds(10));
     REQUIRE(settings.findLedger("d")->replicas.size() == 2);
     REQUIRE(settings.tokens[0].role == wire::Role::Operator);
-    REQUIRE(settings.entriesOf("p") == std::vector<std::string>{"a", "b"});
+    REQUIRE(settings.entryInstancesOf("p") == std::vector<std::string>{"a", "b"});
 }
 
 TEST_CASE_METHOD(SettingsFixture, "parse_invalidSetting_errorNamesFileLineAndKey")
--- a/paddlepier/settings/tomlreader.cpp
+++ b/paddlepier/settings/tomlreader.cpp
@@ -37,19 +37,19 @@
     return this->values.get(key);
 }
 
-std::string TomlReader::requiredText(std::string_view key)
+std::string TomlReader::requiredString(std::string_view key)
 {
     if (this->find(key) == nullptr) {
         this->fail(key, "is missing");
     }
-    std::string text = this->optionalText(key, "");
+    std::string text = this->optionalString(key, "");
     if (text.empty()) {
         this->fail(key, "must not be empty");
     }
     return text;
 }
 
-std::string TomlReader::optionalText(std::string_view key, const std::string &fallback)
+std::string TomlReader::optionalString(std::string_view key, const std::string &fallback)
 {
     const toml::node *node = this->find(key);
     if (node == nullptr) {
@@ -61,7 +61,7 @@
     return node->as_string()->get();
 }
 
-bool TomlReader::flag(std::string_view key, bool fallback)
+bool TomlReader::boolean(std::string_view key, bool fallback)
 {
     const toml::node *node = this->find(key);
     if (node == nullptr) {
@@ -95,7 +95,7 @@
     return absl::Milliseconds(this->number(key, toNumber(fallback), toNumber(minimum), toNumber(maximum)));
 }
 
-std::vector<std::string> TomlReader::requiredTexts(std::string_view key)
+std::vector<std::string> TomlReader::requiredStrings(std::string_view key)
 {
     const toml::node *node = this->find(key);
     if (node == nullptr || !node->is_array() || node->as_array()->empty()) {
--- a/paddlepier/settings/tomlreader.h
+++ b/paddlepier/settings/tomlreader.h
@@ -28,15 +28,15 @@
     TomlReader(const std::string &fileName, const std::string &tableName, const toml::table &source);
 
     /** A string that must be present and not empty. */
-    std::string requiredText(std::string_view key);
-    std::string optionalText(std::string_view key, const std::string &fallback);
-    bool flag(std::string_view key, bool fallback);
+    std::string requiredString(std::string_view key);
+    std::string optionalString(std::string_view key, const std::string &fallback);
+    bool boolean(std::string_view key, bool fallback);
     /** An integer from @p minimum to @p maximum. */
     std::uint32_t number(std::string_view key, std::uint32_t fallback, std::uint32_t minimum, std::uint32_t maximum);
     /** A duration, written as an integer number of milliseconds. */
     Duration milliseconds(std::string_view key, Duration fallback, Duration minimum, Duration maximum);
     /** An array of at least one string. */
-    std::vector<std::string> requiredTexts(std::string_view key);
+    std::vector<std::string> requiredStrings(std::string_view key);
 
     /** Passes a reader of the sub-table to @p read, then rejects unread keys. A missing table is an error only if @p required. */
     void table(std::string_view key, bool required, const std::function<void(TomlReader &)> &read);
