--- a/paddlepier/base/log.cpp
+++ b/paddlepier/base/log.cpp
@@ -4,7 +4,7 @@
 
 #include "paddlepier/base/boundedwriter.h"
 #include "paddlepier/base/error.h"
-#include "paddlepier/base/linebudget.h"
+#include "paddlepier/base/logratelimiter.h"
 
 #include <absl/strings/str_cat.h>
 #include <flatbuffers/util.h>
--- a/paddlepier/base/linebudget.cpp
+++ b/paddlepier/base/logratelimiter.cpp
@@ -1,6 +1,6 @@
 // Bounds how many log lines an event may write in a second.
 
-#include "paddlepier/base/linebudget.h"
+#include "paddlepier/base/logratelimiter.h"
 
 #include <utility>
 
--- a/paddlepier/base/linebudget.h
+++ b/paddlepier/base/logratelimiter.h
@@ -8,8 +8,8 @@
 //
 // Thread safety: every function may be called from any thread. Cost: one look-up under a lock.
 
-#ifndef PADDLEPIER_BASE_LINEBUDGET_H
-#define PADDLEPIER_BASE_LINEBUDGET_H
+#ifndef PADDLEPIER_BASE_LOGRATELIMITER_H
+#define PADDLEPIER_BASE_LOGRATELIMITER_H
 
 #include "paddlepier/base/clock.h"
 
--- a/paddlepier/base/linebudget_test.cpp
+++ b/paddlepier/base/logratelimiter_test.cpp
@@ -1,6 +1,6 @@
 // Lines a second of one event, and the count of those left out.
 
-#include "paddlepier/base/linebudget.h"
+#include "paddlepier/base/logratelimiter.h"
 
 #include <catch2/catch.hpp>
 
--- a/paddlepier/cluster/advicecallers.cpp
+++ b/paddlepier/cluster/advicecallerpool.cpp
@@ -1,8 +1,8 @@
 // Shares questions to the policy service out over the instances.
 
-#include "paddlepier/cluster/advicecallers.h"
+#include "paddlepier/cluster/advicecallerpool.h"
 
-#include "paddlepier/planning/advicebook.h"
+#include "paddlepier/planning/advicecache.h"
 
 #include <algorithm>
 
--- a/paddlepier/cluster/advicecallers.h
+++ b/paddlepier/cluster/advicecallerpool.h
@@ -5,8 +5,8 @@
 //
 // Thread safety: none; owned by the control thread. choose() is O(callers).
 
-#ifndef PADDLEPIER_CLUSTER_ADVICECALLERS_H
-#define PADDLEPIER_CLUSTER_ADVICECALLERS_H
+#ifndef PADDLEPIER_CLUSTER_ADVICECALLERPOOL_H
+#define PADDLEPIER_CLUSTER_ADVICECALLERPOOL_H
 
 #include "paddlepier/base/clock.h"
 
--- a/paddlepier/cluster/advicecallers_test.cpp
+++ b/paddlepier/cluster/advicecallerpool_test.cpp
@@ -1,6 +1,6 @@
 // Sharing of questions over callers.
 
-#include "paddlepier/cluster/advicecallers.h"
+#include "paddlepier/cluster/advicecallerpool.h"
 
 #include <catch2/catch.hpp>
 
--- a/paddlepier/cluster/coreprocess.cpp
+++ b/paddlepier/cluster/coreprocess.cpp
@@ -3,7 +3,7 @@
 #include "paddlepier/cluster/coreprocess.h"
 
 #include "paddlepier/base/log.h"
-#include "paddlepier/cluster/carrycodec.h"
+#include "paddlepier/cluster/relaycodec.h"
 #include "paddlepier/wire/codec.h"
 
 #include <absl/strings/str_cat.h>
--- a/paddlepier/cluster/coreprocess.h
+++ b/paddlepier/cluster/coreprocess.h
@@ -5,13 +5,13 @@
 #ifndef PADDLEPIER_CLUSTER_COREPROCESS_H
 #define PADDLEPIER_CLUSTER_COREPROCESS_H
 
-#include "paddlepier/cluster/heartbeatrelay.h"
+#include "paddlepier/cluster/heartbeatbatcher.h"
 #include "paddlepier/cluster/memberprocess.h"
-#include "paddlepier/cluster/ordercarrying.h"
-#include "paddlepier/cluster/servingwatch.h"
+#include "paddlepier/cluster/orderrelay.h"
+#include "paddlepier/cluster/servingwatchdog.h"
 #include "paddlepier/cluster/workerwatch.h"
 #include "paddlepier/cluster/workservice.h"
-#include "paddlepier/execution/duequeue.h"
+#include "paddlepier/execution/timerqueue.h"
 #include "paddlepier/replication/diskwriter.h"
 
 #include <cstdint>
--- a/paddlepier/cluster/heartbeatrelay.cpp
+++ b/paddlepier/cluster/heartbeatbatcher.cpp
@@ -1,6 +1,6 @@
 // Answers announcements of workers that tell nothing new on replicas that don't lead.
 
-#include "paddlepier/cluster/heartbeatrelay.h"
+#include "paddlepier/cluster/heartbeatbatcher.h"
 
 #include <algorithm>
 #include <memory>
--- a/paddlepier/cluster/heartbeatrelay.h
+++ b/paddlepier/cluster/heartbeatbatcher.h
@@ -13,8 +13,8 @@
 //
 // Thread safety: none; owned by the control thread. Cost: O(log workers) an announcement.
 
-#ifndef PADDLEPIER_CLUSTER_HEARTBEATRELAY_H
-#define PADDLEPIER_CLUSTER_HEARTBEATRELAY_H
+#ifndef PADDLEPIER_CLUSTER_HEARTBEATBATCHER_H
+#define PADDLEPIER_CLUSTER_HEARTBEATBATCHER_H
 
 #include "paddlepier/wire/workload_generated.h"
 #include "paddlepier/workload/workload.h"
--- a/paddlepier/cluster/heartbeatrelay_test.cpp
+++ b/paddlepier/cluster/heartbeatbatcher_test.cpp
@@ -1,6 +1,6 @@
 // Which announcements a replica that doesn't lead may answer.
 
-#include "paddlepier/cluster/heartbeatrelay.h"
+#include "paddlepier/cluster/heartbeatbatcher.h"
 #include "paddlepier/workload/applycommand.h"
 
 #include <catch2/catch.hpp>
--- a/paddlepier/cluster/ordercarrying.cpp
+++ b/paddlepier/cluster/orderrelay.cpp
@@ -1,6 +1,6 @@
 // Brings orders to workers, by the leader itself or through another core instance.
 
-#include "paddlepier/cluster/ordercarrying.h"
+#include "paddlepier/cluster/orderrelay.h"
 
 #include "paddlepier/base/log.h"
 
--- a/paddlepier/cluster/ordercarrying.h
+++ b/paddlepier/cluster/orderrelay.h
@@ -19,11 +19,11 @@
 //
 // Thread safety: none; owned by the control thread, which calls back. Cost: O(core instances) an order.
 
-#ifndef PADDLEPIER_CLUSTER_ORDERCARRYING_H
-#define PADDLEPIER_CLUSTER_ORDERCARRYING_H
+#ifndef PADDLEPIER_CLUSTER_ORDERRELAY_H
+#define PADDLEPIER_CLUSTER_ORDERRELAY_H
 
 #include "paddlepier/base/clock.h"
-#include "paddlepier/cluster/carriers.h"
+#include "paddlepier/cluster/relaypool.h"
 #include "paddlepier/execution/orders.h"
 
 #include <cstddef>
--- a/paddlepier/cluster/ordercarrying_test.cpp
+++ b/paddlepier/cluster/orderrelay_test.cpp
@@ -1,6 +1,6 @@
 // Orders through instances that are lost, slow or stopping, in virtual time.
 
-#include "paddlepier/cluster/ordercarrying.h"
+#include "paddlepier/cluster/orderrelay.h"
 
 #include <absl/strings/str_cat.h>
 #include <catch2/catch.hpp>
--- a/paddlepier/cluster/carrycodec.cpp
+++ b/paddlepier/cluster/relaycodec.cpp
@@ -1,6 +1,6 @@
 // Orders to workers and their answers as messages between core instances.
 
-#include "paddlepier/cluster/carrycodec.h"
+#include "paddlepier/cluster/relaycodec.h"
 
 #include "paddlepier/base/error.h"
 
--- a/paddlepier/cluster/carrycodec.h
+++ b/paddlepier/cluster/relaycodec.h
@@ -6,8 +6,8 @@
 //
 // Thread safety: free functions without state. Cost: O(runs and ends listed).
 
-#ifndef PADDLEPIER_CLUSTER_CARRYCODEC_H
-#define PADDLEPIER_CLUSTER_CARRYCODEC_H
+#ifndef PADDLEPIER_CLUSTER_RELAYCODEC_H
+#define PADDLEPIER_CLUSTER_RELAYCODEC_H
 
 #include "paddlepier/execution/orders.h"
 #include "paddlepier/wire/workload_generated.h"
--- a/paddlepier/cluster/carriers.cpp
+++ b/paddlepier/cluster/relaypool.cpp
@@ -1,6 +1,6 @@
 // Chooses the core instance that carries an order to a worker out.
 
-#include "paddlepier/cluster/carriers.h"
+#include "paddlepier/cluster/relaypool.h"
 
 #include <xxhash.h>
 
--- a/paddlepier/cluster/carriers.h
+++ b/paddlepier/cluster/relaypool.h
@@ -12,8 +12,8 @@
 //
 // Thread safety: none; owned by the control thread. choose() costs O(core instances).
 
-#ifndef PADDLEPIER_CLUSTER_CARRIERS_H
-#define PADDLEPIER_CLUSTER_CARRIERS_H
+#ifndef PADDLEPIER_CLUSTER_RELAYPOOL_H
+#define PADDLEPIER_CLUSTER_RELAYPOOL_H
 
 #include "paddlepier/base/clock.h"
 
--- a/paddlepier/cluster/carriers_test.cpp
+++ b/paddlepier/cluster/relaypool_test.cpp
@@ -1,9 +1,9 @@
 // Which instance carries orders to which worker, and orders on their way over another instance.
 
-#include "paddlepier/cluster/carriers.h"
+#include "paddlepier/cluster/relaypool.h"
 
 #include "paddlepier/base/error.h"
-#include "paddlepier/cluster/carrycodec.h"
+#include "paddlepier/cluster/relaycodec.h"
 #include "paddlepier/wire/codec.h"
 
 #include <absl/strings/str_cat.h>
--- a/paddlepier/cluster/servingwatch.h
+++ b/paddlepier/cluster/servingwatchdog.h
@@ -8,8 +8,8 @@
 //
 // Thread safety: none; owned by the control thread.
 
-#ifndef PADDLEPIER_CLUSTER_SERVINGWATCH_H
-#define PADDLEPIER_CLUSTER_SERVINGWATCH_H
+#ifndef PADDLEPIER_CLUSTER_SERVINGWATCHDOG_H
+#define PADDLEPIER_CLUSTER_SERVINGWATCHDOG_H
 
 #include "paddlepier/base/clock.h"
 
--- a/paddlepier/cluster/servingwatch_test.cpp
+++ b/paddlepier/cluster/servingwatchdog_test.cpp
@@ -1,6 +1,6 @@
 // A leader that can't serve gives its place up.
 
-#include "paddlepier/cluster/servingwatch.h"
+#include "paddlepier/cluster/servingwatchdog.h"
 
 #include <catch2/catch.hpp>
 
--- a/paddlepier/cluster/workservice.h
+++ b/paddlepier/cluster/workservice.h
@@ -9,7 +9,7 @@
 #define PADDLEPIER_CLUSTER_WORKSERVICE_H
 
 #include "paddlepier/base/counters.h"
-#include "paddlepier/cluster/advicecallers.h"
+#include "paddlepier/cluster/advicecallerpool.h"
 #include "paddlepier/cluster/announcementfault.h"
 #include "paddlepier/cluster/authentication.h"
 #include "paddlepier/cluster/ports.h"
--- a/paddlepier/consensus/leaderpatience.cpp
+++ b/paddlepier/consensus/leadertimeout.cpp
@@ -1,6 +1,6 @@
 // How long a follower waits for a leader that has fallen silent.
 
-#include "paddlepier/consensus/leaderpatience.h"
+#include "paddlepier/consensus/leadertimeout.h"
 
 #include <algorithm>
 
--- a/paddlepier/consensus/leaderpatience.h
+++ b/paddlepier/consensus/leadertimeout.h
@@ -7,8 +7,8 @@
 //
 // Thread safety: none; owned by a replica.
 
-#ifndef PADDLEPIER_CONSENSUS_LEADERPATIENCE_H
-#define PADDLEPIER_CONSENSUS_LEADERPATIENCE_H
+#ifndef PADDLEPIER_CONSENSUS_LEADERTIMEOUT_H
+#define PADDLEPIER_CONSENSUS_LEADERTIMEOUT_H
 
 #include "paddlepier/base/clock.h"
 
--- a/paddlepier/consensus/leaderpatience_test.cpp
+++ b/paddlepier/consensus/leadertimeout_test.cpp
@@ -1,6 +1,6 @@
 // A slow leader keeps its place; one that is gone is missed soon.
 
-#include "paddlepier/consensus/leaderpatience.h"
+#include "paddlepier/consensus/leadertimeout.h"
 #include "paddlepier/consensus/replica.h"
 #include "paddlepier/wire/codec.h"
 
--- a/paddlepier/consensus/replica.h
+++ b/paddlepier/consensus/replica.h
@@ -26,7 +26,7 @@
 #define PADDLEPIER_CONSENSUS_REPLICA_H
 
 #include "paddlepier/base/clock.h"
-#include "paddlepier/consensus/leaderpatience.h"
+#include "paddlepier/consensus/leadertimeout.h"
 #include "paddlepier/storage/replicastore.h"
 #include "paddlepier/wire/peer_generated.h"
 
--- a/paddlepier/execution/dispatcher.h
+++ b/paddlepier/execution/dispatcher.h
@@ -23,13 +23,13 @@
 #define PADDLEPIER_EXECUTION_DISPATCHER_H
 
 #include "paddlepier/base/clock.h"
-#include "paddlepier/execution/duequeue.h"
+#include "paddlepier/execution/timerqueue.h"
 #include "paddlepier/execution/orders.h"
 #include "paddlepier/execution/runtrack.h"
-#include "paddlepier/execution/setbacks.h"
+#include "paddlepier/execution/taskbackoff.h"
 #include "paddlepier/execution/stepreport.h"
 #include "paddlepier/execution/workerview.h"
-#include "paddlepier/planning/advicebook.h"
+#include "paddlepier/planning/advicecache.h"
 #include "paddlepier/planning/planner.h"
 #include "paddlepier/workload/workload.h"
 
--- a/paddlepier/execution/orders.h
+++ b/paddlepier/execution/orders.h
@@ -10,7 +10,7 @@
 
 #include "paddlepier/base/clock.h"
 #include "paddlepier/wire/workload_generated.h"
-#include "paddlepier/workload/life.h"
+#include "paddlepier/workload/incarnation.h"
 #include "paddlepier/workload/taskkey.h"
 
 #include <cstdint>
--- a/paddlepier/execution/runtrack.h
+++ b/paddlepier/execution/runtrack.h
@@ -6,7 +6,7 @@
 #define PADDLEPIER_EXECUTION_RUNTRACK_H
 
 #include "paddlepier/base/clock.h"
-#include "paddlepier/workload/life.h"
+#include "paddlepier/workload/incarnation.h"
 #include "paddlepier/workload/taskkey.h"
 
 #include <cstdint>
--- a/paddlepier/execution/stepreport.h
+++ b/paddlepier/execution/stepreport.h
@@ -14,7 +14,7 @@
 #define PADDLEPIER_EXECUTION_STEPREPORT_H
 
 #include "paddlepier/base/clock.h"
-#include "paddlepier/workload/life.h"
+#include "paddlepier/workload/incarnation.h"
 #include "paddlepier/workload/workload.h"
 
 #include <cstdint>
--- a/paddlepier/execution/setbacks.cpp
+++ b/paddlepier/execution/taskbackoff.cpp
@@ -1,6 +1,6 @@
 // Tasks whose starts come to nothing without anybody being to blame for certain.
 
-#include "paddlepier/execution/setbacks.h"
+#include "paddlepier/execution/taskbackoff.h"
 
 #include <algorithm>
 
--- a/paddlepier/execution/setbacks.h
+++ b/paddlepier/execution/taskbackoff.h
@@ -10,8 +10,8 @@
 //
 // Thread safety: none; owned by the dispatcher, for one term. Cost: O(log n) of the tasks with setbacks.
 
-#ifndef PADDLEPIER_EXECUTION_SETBACKS_H
-#define PADDLEPIER_EXECUTION_SETBACKS_H
+#ifndef PADDLEPIER_EXECUTION_TASKBACKOFF_H
+#define PADDLEPIER_EXECUTION_TASKBACKOFF_H
 
 #include "paddlepier/base/clock.h"
 #include "paddlepier/workload/taskkey.h"
--- a/paddlepier/execution/duequeue.h
+++ b/paddlepier/execution/timerqueue.h
@@ -8,8 +8,8 @@
 //
 // Thread safety: none; owned by the control thread. Every operation is O(log n).
 
-#ifndef PADDLEPIER_EXECUTION_DUEQUEUE_H
-#define PADDLEPIER_EXECUTION_DUEQUEUE_H
+#ifndef PADDLEPIER_EXECUTION_TIMERQUEUE_H
+#define PADDLEPIER_EXECUTION_TIMERQUEUE_H
 
 #include "paddlepier/base/clock.h"
 
--- a/paddlepier/execution/duequeue_test.cpp
+++ b/paddlepier/execution/timerqueue_test.cpp
@@ -1,6 +1,6 @@
 // What is due, in the order of its time.
 
-#include "paddlepier/execution/duequeue.h"
+#include "paddlepier/execution/timerqueue.h"
 
 #include <catch2/catch.hpp>
 
--- a/paddlepier/execution/workerview.h
+++ b/paddlepier/execution/workerview.h
@@ -11,7 +11,7 @@
 
 #include "paddlepier/base/clock.h"
 #include "paddlepier/execution/pacecontrol.h"
-#include "paddlepier/workload/life.h"
+#include "paddlepier/workload/incarnation.h"
 
 #include <algorithm>
 #include <cstddef>
--- a/paddlepier/instance/configurationkeeper.cpp
+++ b/paddlepier/instance/configurationstore.cpp
@@ -1,6 +1,6 @@
 // The configuration that is in force in one entry instance.
 
-#include "paddlepier/instance/configurationkeeper.h"
+#include "paddlepier/instance/configurationstore.h"
 
 #include "paddlepier/base/log.h"
 #include "paddlepier/storage/framefile.h"
--- a/paddlepier/instance/configurationkeeper.h
+++ b/paddlepier/instance/configurationstore.h
@@ -11,8 +11,8 @@
 //
 // Thread safety: none; owned by the control thread.
 
-#ifndef PADDLEPIER_INSTANCE_CONFIGURATIONKEEPER_H
-#define PADDLEPIER_INSTANCE_CONFIGURATIONKEEPER_H
+#ifndef PADDLEPIER_INSTANCE_CONFIGURATIONSTORE_H
+#define PADDLEPIER_INSTANCE_CONFIGURATIONSTORE_H
 
 #include "paddlepier/settings/configuration.h"
 #include "paddlepier/wire/api_generated.h"
--- a/paddlepier/instance/configurationkeeper_test.cpp
+++ b/paddlepier/instance/configurationstore_test.cpp
@@ -1,6 +1,6 @@
 // Configuration: versions only go forward, whatever comes, also over restarts.
 
-#include "paddlepier/instance/configurationkeeper.h"
+#include "paddlepier/instance/configurationstore.h"
 
 #include "paddlepier/base/error.h"
 #include "paddlepier/ledger/ledger.h"
--- a/paddlepier/instance/instance.h
+++ b/paddlepier/instance/instance.h
@@ -17,7 +17,7 @@
 #include "paddlepier/base/suspension.h"
 #include "paddlepier/http/httpserver.h"
 #include "paddlepier/instance/callrouter.h"
-#include "paddlepier/instance/configurationkeeper.h"
+#include "paddlepier/instance/configurationstore.h"
 #include "paddlepier/instance/ledgernode.h"
 #include "paddlepier/instance/ledgerservice.h"
 #include "paddlepier/instance/quickservice.h"
--- a/paddlepier/instance/ledgerservice.h
+++ b/paddlepier/instance/ledgerservice.h
@@ -12,7 +12,7 @@
 #include "paddlepier/instance/actor.h"
 #include "paddlepier/instance/ledgernode.h"
 #include "paddlepier/ledger/leasetable.h"
-#include "paddlepier/routing/sharedealer.h"
+#include "paddlepier/routing/shareallocator.h"
 #include "paddlepier/rpc/callcatalog.h"
 #include "paddlepier/scheduling/scheduler.h"
 #include "paddlepier/settings/configuration.h"
--- a/paddlepier/planning/advicebook.cpp
+++ b/paddlepier/planning/advicecache.cpp
@@ -1,6 +1,6 @@
 // What the policy service has said.
 
-#include "paddlepier/planning/advicebook.h"
+#include "paddlepier/planning/advicecache.h"
 
 #include <algorithm>
 
--- a/paddlepier/planning/advicebook.h
+++ b/paddlepier/planning/advicecache.h
@@ -10,8 +10,8 @@
 //
 // Thread safety: none; owned by the control thread. Every call is O(1) a worker, but for answer(): O(log n).
 
-#ifndef PADDLEPIER_PLANNING_ADVICEBOOK_H
-#define PADDLEPIER_PLANNING_ADVICEBOOK_H
+#ifndef PADDLEPIER_PLANNING_ADVICECACHE_H
+#define PADDLEPIER_PLANNING_ADVICECACHE_H
 
 #include "paddlepier/base/clock.h"
 #include "paddlepier/execution/orders.h"
--- a/paddlepier/planning/advicebook_test.cpp
+++ b/paddlepier/planning/advicecache_test.cpp
@@ -1,6 +1,6 @@
 // How long tickets of the policy service are used.
 
-#include "paddlepier/planning/advicebook.h"
+#include "paddlepier/planning/advicecache.h"
 
 #include <catch2/catch.hpp>
 
--- a/paddlepier/planning/asking.cpp
+++ b/paddlepier/planning/advicerequester.cpp
@@ -1,6 +1,6 @@
 // What to ask the policy service, and which room to keep until it answers.
 
-#include "paddlepier/planning/asking.h"
+#include "paddlepier/planning/advicerequester.h"
 
 #include "paddlepier/planning/eligibility.h"
 
--- a/paddlepier/planning/asking.h
+++ b/paddlepier/planning/advicerequester.h
@@ -14,14 +14,14 @@
 //
 // Thread safety: none; owned by the planner. Cost: ask() is O(workers + workers named x log workers).
 
-#ifndef PADDLEPIER_PLANNING_ASKING_H
-#define PADDLEPIER_PLANNING_ASKING_H
+#ifndef PADDLEPIER_PLANNING_ADVICEREQUESTER_H
+#define PADDLEPIER_PLANNING_ADVICEREQUESTER_H
 
 #include "paddlepier/base/clock.h"
 #include "paddlepier/execution/orders.h"
-#include "paddlepier/planning/advicebook.h"
-#include "paddlepier/planning/roomkeeping.h"
-#include "paddlepier/planning/rooms.h"
+#include "paddlepier/planning/advicecache.h"
+#include "paddlepier/planning/capacityreserver.h"
+#include "paddlepier/planning/capacityindex.h"
 
 #include <cstddef>
 #include <limits>
--- a/paddlepier/planning/rooms.cpp
+++ b/paddlepier/planning/capacityindex.cpp
@@ -1,6 +1,6 @@
 // The workers that a plan may use.
 
-#include "paddlepier/planning/rooms.h"
+#include "paddlepier/planning/capacityindex.h"
 
 #include "paddlepier/planning/eligibility.h"
 
--- a/paddlepier/planning/rooms.h
+++ b/paddlepier/planning/capacityindex.h
@@ -16,14 +16,14 @@
 // has told about); hasRoomFor() O(1) as a rule, O(workers) for a size that wasn't asked for in this plan; the rest O(1) or O(data
 // centres).
 
-#ifndef PADDLEPIER_PLANNING_ROOMS_H
-#define PADDLEPIER_PLANNING_ROOMS_H
+#ifndef PADDLEPIER_PLANNING_CAPACITYINDEX_H
+#define PADDLEPIER_PLANNING_CAPACITYINDEX_H
 
 #include "paddlepier/base/clock.h"
-#include "paddlepier/execution/duequeue.h"
+#include "paddlepier/execution/timerqueue.h"
 #include "paddlepier/execution/runtrack.h"
 #include "paddlepier/execution/workerview.h"
-#include "paddlepier/planning/advicebook.h"
+#include "paddlepier/planning/advicecache.h"
 #include "paddlepier/planning/suitability.h"
 #include "paddlepier/workload/workload.h"
 
--- a/paddlepier/planning/rooms_test.cpp
+++ b/paddlepier/planning/capacityindex_test.cpp
@@ -1,6 +1,6 @@
 // Rooms that are kept from plan to plan: they are what a reading of the whole cell finds, and cost what has changed.
 
-#include "paddlepier/planning/rooms.h"
+#include "paddlepier/planning/capacityindex.h"
 
 #include "paddlepier/planning/fakecell.h"
 
--- a/paddlepier/planning/roomkeeping.cpp
+++ b/paddlepier/planning/capacityreserver.cpp
@@ -1,6 +1,6 @@
 // Where a task that needs much of a worker will fit first.
 
-#include "paddlepier/planning/roomkeeping.h"
+#include "paddlepier/planning/capacityreserver.h"
 
 #include "paddlepier/planning/eligibility.h"
 
--- a/paddlepier/planning/roomkeeping.h
+++ b/paddlepier/planning/capacityreserver.h
@@ -16,13 +16,13 @@
 // Thread safety: none; owned by the planner. Cost: keepFor() is O((permitted workers + tasks) x runs on each x log of it +
 // tasks x permitted workers), and once a plan O(runs x log of all runs) for each worker that is looked at.
 
-#ifndef PADDLEPIER_PLANNING_ROOMKEEPING_H
-#define PADDLEPIER_PLANNING_ROOMKEEPING_H
+#ifndef PADDLEPIER_PLANNING_CAPACITYRESERVER_H
+#define PADDLEPIER_PLANNING_CAPACITYRESERVER_H
 
 #include "paddlepier/base/clock.h"
 #include "paddlepier/execution/runtrack.h"
-#include "paddlepier/planning/outlook.h"
-#include "paddlepier/planning/rooms.h"
+#include "paddlepier/planning/objectiveforecast.h"
+#include "paddlepier/planning/capacityindex.h"
 #include "paddlepier/planning/suitability.h"
 #include "paddlepier/workload/workload.h"
 
--- a/paddlepier/planning/homes.cpp
+++ b/paddlepier/planning/datacentreselector.cpp
@@ -1,6 +1,6 @@
 // In which data centre the tasks of a step are kept together.
 
-#include "paddlepier/planning/homes.h"
+#include "paddlepier/planning/datacentreselector.h"
 
 #include <algorithm>
 
--- a/paddlepier/planning/homes.h
+++ b/paddlepier/planning/datacentreselector.h
@@ -14,10 +14,10 @@
 //
 // Thread safety: none; owned by the planner. Cost: of() is O(log steps), and O(workers) once for each step.
 
-#ifndef PADDLEPIER_PLANNING_HOMES_H
-#define PADDLEPIER_PLANNING_HOMES_H
+#ifndef PADDLEPIER_PLANNING_DATACENTRESELECTOR_H
+#define PADDLEPIER_PLANNING_DATACENTRESELECTOR_H
 
-#include "paddlepier/planning/rooms.h"
+#include "paddlepier/planning/capacityindex.h"
 #include "paddlepier/planning/suitability.h"
 #include "paddlepier/workload/taskkey.h"
 
--- a/paddlepier/planning/outlook.h
+++ b/paddlepier/planning/objectiveforecast.h
@@ -6,8 +6,8 @@
 //
 // Thread safety: none; owned by the planner. Cost: O(steps).
 
-#ifndef PADDLEPIER_PLANNING_OUTLOOK_H
-#define PADDLEPIER_PLANNING_OUTLOOK_H
+#ifndef PADDLEPIER_PLANNING_OBJECTIVEFORECAST_H
+#define PADDLEPIER_PLANNING_OBJECTIVEFORECAST_H
 
 #include "paddlepier/workload/job.h"
 
--- a/paddlepier/planning/outlook_test.cpp
+++ b/paddlepier/planning/objectiveforecast_test.cpp
@@ -1,6 +1,6 @@
 // Whether a job can still meet its objective.
 
-#include "paddlepier/planning/outlook.h"
+#include "paddlepier/planning/objectiveforecast.h"
 
 #include <catch2/catch.hpp>
 
--- a/paddlepier/planning/planner.h
+++ b/paddlepier/planning/planner.h
@@ -3,12 +3,12 @@
 // A plan is made from the ledger and from what the leader knows of the workers; nothing is changed by making it. It is a
 // sequence of decisions, each with its own part:
 //  - in which order steps are taken (steporder.h);
-//  - how much its team may still have placed (quotaleft.h);
-//  - who may get a task (eligibility.h, and probation.h for one that may take workers down), and which of the workers with
+//  - how much its team may still have placed (quotatracker.h);
+//  - who may get a task (eligibility.h, and suspectisolation.h for one that may take workers down), and which of the workers with
 //    room is taken (suitability.h): here;
-//  - where room for wide tasks comes soonest, and is kept (roomkeeping.h);
-//  - what to ask the policy service, and which room to keep until it answers (asking.h);
-//  - which runs make way (makingway.h).
+//  - where room for wide tasks comes soonest, and is kept (capacityreserver.h);
+//  - what to ask the policy service, and which room to keep until it answers (advicerequester.h);
+//  - which runs make way (preemption.h).
 // Steps of which nothing can come now are passed over unless room has to be kept for them, and a plan ends when as much is placed as
 // may be: what it costs follows from what changed and what can be placed, not from what waits.
 //
@@ -25,18 +25,18 @@
 #include "paddlepier/execution/orders.h"
 #include "paddlepier/execution/runtrack.h"
 #include "paddlepier/execution/workerview.h"
-#include "paddlepier/planning/advicebook.h"
-#include "paddlepier/planning/asking.h"
-#include "paddlepier/planning/homes.h"
-#include "paddlepier/planning/makingway.h"
-#include "paddlepier/planning/outlook.h"
-#include "paddlepier/planning/probation.h"
-#include "paddlepier/planning/quotaleft.h"
-#include "paddlepier/planning/roomkeeping.h"
-#include "paddlepier/planning/rooms.h"
+#include "paddlepier/planning/advicecache.h"
+#include "paddlepier/planning/advicerequester.h"
+#include "paddlepier/planning/datacentreselector.h"
+#include "paddlepier/planning/preemption.h"
+#include "paddlepier/planning/objectiveforecast.h"
+#include "paddlepier/planning/suspectisolation.h"
+#include "paddlepier/planning/quotatracker.h"
+#include "paddlepier/planning/capacityreserver.h"
+#include "paddlepier/planning/capacityindex.h"
 #include "paddlepier/planning/steporder.h"
 #include "paddlepier/planning/suitability.h"
-#include "paddlepier/planning/waiting.h"
+#include "paddlepier/planning/waitmonitor.h"
 #include "paddlepier/workload/workload.h"
 
 #include <cstddef>
@@ -91,7 +91,7 @@
     /** To be called when a worker's view has changed by anything but the passing of time, or is new. */
     void noteView(const workload::Life &worker);
 
-    /** Steps that have waited for long, and why; see waiting.h. */
+    /** Steps that have waited for long, and why; see waitmonitor.h. */
     std::vector<LongWait> lookForLongWaits(Timestamp now, std::int64_t wallMillis);
     /** The wait of @p job that was found last and lasts; null if there is none. */
     const LongWait *longWaitOf(const std::string &job) const;
--- a/paddlepier/planning/makingway.cpp
+++ b/paddlepier/planning/preemption.cpp
@@ -1,6 +1,6 @@
 // Which runs make way, for urgent work and for wide tasks.
 
-#include "paddlepier/planning/makingway.h"
+#include "paddlepier/planning/preemption.h"
 
 #include "paddlepier/planning/eligibility.h"
 
--- a/paddlepier/planning/makingway.h
+++ b/paddlepier/planning/preemption.h
@@ -3,7 +3,7 @@
 // Urgent work (priority 0) may take the place of any run that saves its progress: those near the step's other tasks go first,
 // then what can't be served in time any more, and then the youngest; where room is short some jobs end in time instead of
 // all ending late. Urgent work that is late already stops nothing. Work of other queues makes less urgent runs give way only
-// for wide tasks, which would find no room otherwise, and only where room is chosen and kept for them (roomkeeping.h).
+// for wide tasks, which would find no room otherwise, and only where room is chosen and kept for them (capacityreserver.h).
 //
 // Example:
 //     way.begin(now, wallMillis);
@@ -12,13 +12,13 @@
 //
 // Thread safety: none; owned by the planner. Cost: O(tasks of jobs that may make way), once a plan.
 
-#ifndef PADDLEPIER_PLANNING_MAKINGWAY_H
-#define PADDLEPIER_PLANNING_MAKINGWAY_H
+#ifndef PADDLEPIER_PLANNING_PREEMPTION_H
+#define PADDLEPIER_PLANNING_PREEMPTION_H
 
 #include "paddlepier/execution/runtrack.h"
-#include "paddlepier/planning/outlook.h"
-#include "paddlepier/planning/roomkeeping.h"
-#include "paddlepier/planning/rooms.h"
+#include "paddlepier/planning/objectiveforecast.h"
+#include "paddlepier/planning/capacityreserver.h"
+#include "paddlepier/planning/capacityindex.h"
 #include "paddlepier/workload/workload.h"
 
 #include <algorithm>
--- a/paddlepier/planning/quotaleft.cpp
+++ b/paddlepier/planning/quotatracker.cpp
@@ -1,6 +1,6 @@
 // What a plan may still place of each team's quota.
 
-#include "paddlepier/planning/quotaleft.h"
+#include "paddlepier/planning/quotatracker.h"
 
 #include <algorithm>
 #include <utility>
--- a/paddlepier/planning/quotaleft.h
+++ b/paddlepier/planning/quotatracker.h
@@ -10,8 +10,8 @@
 //
 // Thread safety: none; owned by the planner. Cost: O(log teams) each.
 
-#ifndef PADDLEPIER_PLANNING_QUOTALEFT_H
-#define PADDLEPIER_PLANNING_QUOTALEFT_H
+#ifndef PADDLEPIER_PLANNING_QUOTATRACKER_H
+#define PADDLEPIER_PLANNING_QUOTATRACKER_H
 
 #include "paddlepier/planning/suitability.h"
 #include "paddlepier/workload/workload.h"
--- a/paddlepier/planning/steporder.h
+++ b/paddlepier/planning/steporder.h
@@ -20,8 +20,8 @@
 #ifndef PADDLEPIER_PLANNING_STEPORDER_H
 #define PADDLEPIER_PLANNING_STEPORDER_H
 
-#include "paddlepier/execution/duequeue.h"
-#include "paddlepier/planning/outlook.h"
+#include "paddlepier/execution/timerqueue.h"
+#include "paddlepier/planning/objectiveforecast.h"
 #include "paddlepier/planning/suitability.h"
 #include "paddlepier/workload/workload.h"
 
--- a/paddlepier/planning/suitability.h
+++ b/paddlepier/planning/suitability.h
@@ -13,8 +13,8 @@
 #define PADDLEPIER_PLANNING_SUITABILITY_H
 
 #include "paddlepier/execution/workerview.h"
-#include "paddlepier/planning/advicebook.h"
-#include "paddlepier/planning/outlook.h"
+#include "paddlepier/planning/advicecache.h"
+#include "paddlepier/planning/objectiveforecast.h"
 #include "paddlepier/workload/workload.h"
 
 #include <cstdint>
--- a/paddlepier/planning/probation.cpp
+++ b/paddlepier/planning/suspectisolation.cpp
@@ -1,6 +1,6 @@
 // Where tasks may be started under which workers were lost.
 
-#include "paddlepier/planning/probation.h"
+#include "paddlepier/planning/suspectisolation.h"
 
 #include <algorithm>
 
--- a/paddlepier/planning/probation.h
+++ b/paddlepier/planning/suspectisolation.h
@@ -15,13 +15,13 @@
 //
 // Thread safety: none; owned by the planner. Cost: begin() is O(suspects log runs), the rest O(1).
 
-#ifndef PADDLEPIER_PLANNING_PROBATION_H
-#define PADDLEPIER_PLANNING_PROBATION_H
+#ifndef PADDLEPIER_PLANNING_SUSPECTISOLATION_H
+#define PADDLEPIER_PLANNING_SUSPECTISOLATION_H
 
 #include "paddlepier/base/clock.h"
 #include "paddlepier/execution/runtrack.h"
-#include "paddlepier/execution/setbacks.h"
-#include "paddlepier/planning/rooms.h"
+#include "paddlepier/execution/taskbackoff.h"
+#include "paddlepier/planning/capacityindex.h"
 #include "paddlepier/workload/workload.h"
 
 #include <cstddef>
--- a/paddlepier/planning/waiting.cpp
+++ b/paddlepier/planning/waitmonitor.cpp
@@ -1,9 +1,9 @@
 // Why tasks wait.
 
-#include "paddlepier/planning/waiting.h"
+#include "paddlepier/planning/waitmonitor.h"
 
 #include "paddlepier/planning/eligibility.h"
-#include "paddlepier/planning/quotaleft.h"
+#include "paddlepier/planning/quotatracker.h"
 
 #include <algorithm>
 #include <array>
--- a/paddlepier/planning/waiting.h
+++ b/paddlepier/planning/waitmonitor.h
@@ -9,14 +9,14 @@
 // Thread safety: none; owned by the planner. Cost: look() is O(waiting steps log of them), and O(workers) for each of the few
 // that are told.
 
-#ifndef PADDLEPIER_PLANNING_WAITING_H
-#define PADDLEPIER_PLANNING_WAITING_H
+#ifndef PADDLEPIER_PLANNING_WAITMONITOR_H
+#define PADDLEPIER_PLANNING_WAITMONITOR_H
 
 #include "paddlepier/base/clock.h"
-#include "paddlepier/execution/setbacks.h"
+#include "paddlepier/execution/taskbackoff.h"
 #include "paddlepier/execution/workerview.h"
-#include "paddlepier/planning/probation.h"
-#include "paddlepier/planning/rooms.h"
+#include "paddlepier/planning/suspectisolation.h"
+#include "paddlepier/planning/capacityindex.h"
 #include "paddlepier/planning/steporder.h"
 #include "paddlepier/workload/workload.h"
 
--- a/paddlepier/routing/sharedealer.cpp
+++ b/paddlepier/routing/shareallocator.cpp
@@ -1,6 +1,6 @@
 // Dealing of workers' slots to entry instances.
 
-#include "paddlepier/routing/sharedealer.h"
+#include "paddlepier/routing/shareallocator.h"
 
 #include "paddlepier/base/error.h"
 
--- a/paddlepier/routing/sharedealer.h
+++ b/paddlepier/routing/shareallocator.h
@@ -16,8 +16,8 @@
 //
 // Thread safety: none; owned by the control thread. deal() is O(workers * entries of the partner).
 
-#ifndef PADDLEPIER_ROUTING_SHAREDEALER_H
-#define PADDLEPIER_ROUTING_SHAREDEALER_H
+#ifndef PADDLEPIER_ROUTING_SHAREALLOCATOR_H
+#define PADDLEPIER_ROUTING_SHAREALLOCATOR_H
 
 #include "paddlepier/base/clock.h"
 #include "paddlepier/wire/api_generated.h"
--- a/paddlepier/routing/sharedealer_test.cpp
+++ b/paddlepier/routing/shareallocator_test.cpp
@@ -1,6 +1,6 @@
 // Shares: random entries, losses, restarts and leader changes, with an oracle that adds up what may be in use.
 
-#include "paddlepier/routing/sharedealer.h"
+#include "paddlepier/routing/shareallocator.h"
 
 #include "paddlepier/base/error.h"
 #include "testing/property.h"
--- a/paddlepier/workload/life.h
+++ b/paddlepier/workload/incarnation.h
@@ -12,8 +12,8 @@
 //
 // Thread safety: plain values. Cost: comparing costs as much as comparing the ids.
 
-#ifndef PADDLEPIER_WORKLOAD_LIFE_H
-#define PADDLEPIER_WORKLOAD_LIFE_H
+#ifndef PADDLEPIER_WORKLOAD_INCARNATION_H
+#define PADDLEPIER_WORKLOAD_INCARNATION_H
 
 #include "paddlepier/wire/workload_generated.h"
 
--- a/paddlepier/workload/job.h
+++ b/paddlepier/workload/job.h
@@ -19,7 +19,7 @@
 #define PADDLEPIER_WORKLOAD_JOB_H
 
 #include "paddlepier/wire/workload_generated.h"
-#include "paddlepier/workload/life.h"
+#include "paddlepier/workload/incarnation.h"
 #include "paddlepier/workload/taskkey.h"
 
 #include <cstddef>
--- a/paddlepier/workload/workload.h
+++ b/paddlepier/workload/workload.h
@@ -18,7 +18,7 @@
 #include "paddlepier/wire/workload_generated.h"
 #include "paddlepier/workload/changelog.h"
 #include "paddlepier/workload/job.h"
-#include "paddlepier/workload/life.h"
+#include "paddlepier/workload/incarnation.h"
 #include "paddlepier/workload/teams.h"
 #include "paddlepier/workload/worker.h"
 
