--- a/paddlepier/cluster/coreprocess.cpp
+++ b/paddlepier/cluster/coreprocess.cpp
@@ -188,7 +188,7 @@
     this->node->receive(controlNow(), std::move(frame));
 }
 
-void CoreProcess::handleAsLeader(Timestamp now, const std::string &fromInstance, WorkMethod method, const std::string &body, const CallDone &done)
+void CoreProcess::handleAsLeader(Timestamp now, const std::string &fromInstance, WorkMethod method, const std::string &body, const CallCallback &done)
 {
     if (!this->service || !this->node->isServing(now)) {
         CallResult result;
@@ -221,7 +221,7 @@
     });
 }
 
-void CoreProcess::callLeader(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallDone done)
+void CoreProcess::callLeader(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallCallback done)
 {
     if (this->service && this->node->isServing(now)) {
         try {
--- a/paddlepier/cluster/coreprocess.h
+++ b/paddlepier/cluster/coreprocess.h
@@ -53,14 +53,14 @@
     void receiveCall(const std::string &fromInstance, const wire::CallRequestT &request) override;
     void receiveReply(const std::string &fromInstance, const wire::CallReplyT &answer) override;
     void receiveFrame(wire::PeerFrameT frame) override;
-    void callLeader(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallDone done) override;
+    void callLeader(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallCallback done) override;
     void stopGracefully() override;
 
 private:
     void updateService(Timestamp now);
     /** Logs once a second how the leader's control thread spends its time. */
     void reportLoad(Timestamp now);
-    void handleAsLeader(Timestamp now, const std::string &fromInstance, WorkMethod method, const std::string &body, const CallDone &done);
+    void handleAsLeader(Timestamp now, const std::string &fromInstance, WorkMethod method, const std::string &body, const CallCallback &done);
     /** Reports this core to the leader, which may then use it for advice requests and as a relay. */
     void sendPresence(Timestamp now);
     /** Answers an announcement that contains nothing new on behalf of the leader. @return false if the leader must handle it */
--- a/paddlepier/cluster/leaderclient.cpp
+++ b/paddlepier/cluster/leaderclient.cpp
@@ -49,7 +49,7 @@
     return this->pending.size();
 }
 
-void LeaderClient::call(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallDone done)
+void LeaderClient::call(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallCallback done)
 {
     const std::uint64_t id = this->nextId++;
     PendingCall &pending = this->pending[id];
@@ -159,7 +159,7 @@
 void LeaderClient::complete(std::uint64_t id, const CallResult &result)
 {
     const auto found = this->pending.find(id);
-    const CallDone done = std::move(found->second.done);
+    const CallCallback done = std::move(found->second.done);
     this->pending.erase(found);
     done(result);
 }
--- a/paddlepier/cluster/leaderclient.h
+++ b/paddlepier/cluster/leaderclient.h
@@ -40,7 +40,7 @@
     const std::vector<std::string> &cores() const;
 
     /** @p done is called exactly once, from tick() or receiveReply(). */
-    void call(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallDone done);
+    void call(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallCallback done);
     void receiveReply(Timestamp now, const std::string &fromInstance, const wire::CallReplyT &reply);
     /** Retries calls that were refused or not answered in time, and completes those past their deadline. */
     void tick(Timestamp now);
@@ -53,7 +53,7 @@
     struct PendingCall {
         WorkMethod method = WorkMethod::Job;
         std::string body;
-        CallDone done;
+        CallCallback done;
         Timestamp deadline;
         Timestamp nextAttemptAt;
         /** Target of the last attempt; empty if there was none, or if it went to all cores. */
--- a/paddlepier/cluster/memberprocess.cpp
+++ b/paddlepier/cluster/memberprocess.cpp
@@ -131,14 +131,14 @@
     });
 }
 
-void MemberProcess::call(WorkMethod method, std::string body, Duration timeout, CallDone done)
+void MemberProcess::call(WorkMethod method, std::string body, Duration timeout, CallCallback done)
 {
     this->post([this, method, body = std::move(body), timeout, done = std::move(done)]() mutable {
         this->callLeader(controlNow(), method, std::move(body), timeout, std::move(done));
     });
 }
 
-void MemberProcess::callLeader(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallDone done)
+void MemberProcess::callLeader(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallCallback done)
 {
     this->leader->call(now, method, std::move(body), timeout, std::move(done));
 }
--- a/paddlepier/cluster/memberprocess.h
+++ b/paddlepier/cluster/memberprocess.h
@@ -46,7 +46,7 @@
     MemberProcess &operator=(const MemberProcess &) = delete;
 
     /** Calls the leader. @p done is called exactly once, on the control thread. */
-    void call(WorkMethod method, std::string body, Duration timeout, CallDone done);
+    void call(WorkMethod method, std::string body, Duration timeout, CallCallback done);
     void addSeeds(std::vector<std::string> seeds);
 
     /** Runs until requestStop(), then stops gracefully. */
@@ -70,7 +70,7 @@
     virtual void receiveReply(const std::string &fromInstance, const wire::CallReplyT &answer);
     /** Handles frames other than calls and replies. */
     virtual void receiveFrame(wire::PeerFrameT frame) = 0;
-    virtual void callLeader(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallDone done);
+    virtual void callLeader(Timestamp now, WorkMethod method, std::string body, Duration timeout, CallCallback done);
     virtual void stopGracefully() = 0;
 
     void step(Duration timeout);
--- a/paddlepier/cluster/workcalls.h
+++ b/paddlepier/cluster/workcalls.h
@@ -28,7 +28,7 @@
     work::WorkReplyT reply;
 };
 
-using CallDone = std::function<void(const CallResult &)>;
+using CallCallback = std::function<void(const CallResult &)>;
 
 } // namespace paddlepier::cluster
 
--- a/paddlepier/cluster/workservice.cpp
+++ b/paddlepier/cluster/workservice.cpp
@@ -98,7 +98,7 @@
     this->node.proposeBytes(wire::pack(entry), std::move(completed));
 }
 
-void WorkService::proposeAndReply(work::CommandUnion command, work::WorkReplyT reply, const CallDone &done)
+void WorkService::proposeAndReply(work::CommandUnion command, work::WorkReplyT reply, const CallCallback &done)
 {
     this->propose(std::move(command), [this, isActive = this->isTermActive, reply = std::move(reply), done](const workload::Outcome &outcome) {
         if (*isActive) {
@@ -126,7 +126,7 @@
     });
 }
 
-void WorkService::handle(Timestamp now, const std::string &fromInstance, WorkMethod method, const std::string &body, const CallDone &done)
+void WorkService::handle(Timestamp now, const std::string &fromInstance, WorkMethod method, const std::string &body, const CallCallback &done)
 {
     switch (method) {
     case WorkMethod::Job:
@@ -152,7 +152,7 @@
     done(answer(work::CallOutcome::Invalid, "not a call that a leader handles"));
 }
 
-void WorkService::handleJob(const work::JobCallT &call, const CallDone &done)
+void WorkService::handleJob(const work::JobCallT &call, const CallCallback &done)
 {
     if (this->node.state().configuration().version == 0) {
         done(answer(work::CallOutcome::Unavailable, "no configuration yet"));
@@ -190,7 +190,7 @@
     }
 }
 
-void WorkService::submit(const JobRequest &request, const work::JobCallT &call, const CallDone &done)
+void WorkService::submit(const JobRequest &request, const work::JobCallT &call, const CallCallback &done)
 {
     const auto &[queue, id, team] = request;
     if (const workload::Job *known = this->node.state().findJob(id)) {
@@ -220,7 +220,7 @@
     this->proposeAndReply(toCommand(std::move(command)), answer(work::CallOutcome::Accepted).reply, done);
 }
 
-void WorkService::show(const JobRequest &request, const CallDone &done)
+void WorkService::show(const JobRequest &request, const CallCallback &done)
 {
     const workload::Job *job = this->node.state().findJob(request.id);
     if (job == nullptr || job->queue().name != request.queue.name || !canView(*job, request.queue, request.team)) {
@@ -233,7 +233,7 @@
     done(result);
 }
 
-void WorkService::cancel(const JobRequest &request, const CallDone &done)
+void WorkService::cancel(const JobRequest &request, const CallCallback &done)
 {
     const workload::Job *job = this->node.state().findJob(request.id);
     if (job == nullptr || !canView(*job, request.queue, request.team)) {
@@ -269,7 +269,7 @@
     return std::nullopt;
 }
 
-void WorkService::announce(Timestamp now, const work::AnnounceCallT &call, const CallDone &done)
+void WorkService::announce(Timestamp now, const work::AnnounceCallT &call, const CallCallback &done)
 {
     const work::RegisterWorkerT &registration = *call.registration;
     if (const std::optional<AnnouncementFault> fault = this->faultOf(call)) {
@@ -310,7 +310,7 @@
     this->proposeAndReply(toCommand(std::move(command)), answer(work::CallOutcome::Accepted).reply, done);
 }
 
-void WorkService::recordHeartbeats(Timestamp now, const work::HeartbeatsCallT &call, const CallDone &done)
+void WorkService::recordHeartbeats(Timestamp now, const work::HeartbeatsCallT &call, const CallCallback &done)
 {
     for (const auto &heartbeat : call.heartbeats) {
         const workload::Incarnation incarnation{heartbeat->worker, heartbeat->born};
@@ -337,7 +337,7 @@
     return this->dispatcher.mayHaveLeft(now, incarnation) ? std::optional(incarnation) : std::nullopt;
 }
 
-void WorkService::withdraw(Timestamp now, const work::WithdrawCallT &call, const CallDone &done)
+void WorkService::withdraw(Timestamp now, const work::WithdrawCallT &call, const CallCallback &done)
 {
     const std::optional<workload::Incarnation> incarnation = this->withdrawnIncarnation(now, call);
     if (!incarnation) {
@@ -352,7 +352,7 @@
     this->proposeAndReply(toCommand(std::move(command)), answer(work::CallOutcome::Accepted).reply, done);
 }
 
-void WorkService::configure(work::ConfigureCallT call, const CallDone &done)
+void WorkService::configure(work::ConfigureCallT call, const CallCallback &done)
 {
     const work::ChangeConfigurationT &current = this->node.state().configuration();
     const bool isNewer = call.change->version > current.version;
@@ -366,7 +366,7 @@
     this->proposeAndReply(toCommand(std::move(*call.change)), answer(work::CallOutcome::Accepted).reply, done);
 }
 
-void WorkService::readConfiguration(const CallDone &done)
+void WorkService::readConfiguration(const CallCallback &done)
 {
     if (this->node.state().configuration().version == 0) {
         done(answer(work::CallOutcome::Unavailable, "no configuration yet"));
@@ -379,7 +379,7 @@
     done(result);
 }
 
-void WorkService::evacuate(work::EvacuateCallT call, const CallDone &done)
+void WorkService::evacuate(work::EvacuateCallT call, const CallCallback &done)
 {
     if (!call.change || call.change->dataCentre.empty()) {
         done(answer(work::CallOutcome::Invalid, "an evacuation must name a data centre"));
@@ -392,7 +392,7 @@
     this->proposeAndReply(toCommand(std::move(*call.change)), answer(work::CallOutcome::Accepted).reply, done);
 }
 
-void WorkService::presence(Timestamp now, const std::string &fromInstance, const CallDone &done)
+void WorkService::presence(Timestamp now, const std::string &fromInstance, const CallCallback &done)
 {
     this->callers.markAlive(now, fromInstance);
     CallResult result = answer(work::CallOutcome::Accepted);
--- a/paddlepier/cluster/workservice.h
+++ b/paddlepier/cluster/workservice.h
@@ -52,38 +52,38 @@
     WorkService(const WorkService &) = delete;
     WorkService &operator=(const WorkService &) = delete;
 
-    void handle(Timestamp now, const std::string &fromInstance, WorkMethod method, const std::string &body, const CallDone &done);
+    void handle(Timestamp now, const std::string &fromInstance, WorkMethod method, const std::string &body, const CallCallback &done);
     /** Executes the dispatcher's effects; must be called after every batch of events. */
     void step(Timestamp now);
 
 private:
-    void handleJob(const work::JobCallT &call, const CallDone &done);
+    void handleJob(const work::JobCallT &call, const CallCallback &done);
     /** A caller's request about one job. */
     struct JobRequest {
         const work::QueueSpecT &queue;
         std::string id;
         std::string team;
     };
-    void submit(const JobRequest &request, const work::JobCallT &call, const CallDone &done);
-    void show(const JobRequest &request, const CallDone &done);
-    void cancel(const JobRequest &request, const CallDone &done);
+    void submit(const JobRequest &request, const work::JobCallT &call, const CallCallback &done);
+    void show(const JobRequest &request, const CallCallback &done);
+    void cancel(const JobRequest &request, const CallCallback &done);
     /** The fault of an announcement, as far as only the leader can detect it. */
     std::optional<AnnouncementFault> faultOf(const work::AnnounceCallT &call) const;
-    void announce(Timestamp now, const work::AnnounceCallT &call, const CallDone &done);
+    void announce(Timestamp now, const work::AnnounceCallT &call, const CallCallback &done);
     /** Records announcements that other instances have answered. */
-    void recordHeartbeats(Timestamp now, const work::HeartbeatsCallT &call, const CallDone &done);
+    void recordHeartbeats(Timestamp now, const work::HeartbeatsCallT &call, const CallCallback &done);
     /** The incarnation that a withdrawal refers to; nothing if it may be one that has ended. */
     std::optional<workload::Incarnation> withdrawnIncarnation(Timestamp now, const work::WithdrawCallT &call) const;
-    void withdraw(Timestamp now, const work::WithdrawCallT &call, const CallDone &done);
-    void configure(work::ConfigureCallT call, const CallDone &done);
-    void readConfiguration(const CallDone &done);
-    void evacuate(work::EvacuateCallT call, const CallDone &done);
-    void presence(Timestamp now, const std::string &fromInstance, const CallDone &done);
+    void withdraw(Timestamp now, const work::WithdrawCallT &call, const CallCallback &done);
+    void configure(work::ConfigureCallT call, const CallCallback &done);
+    void readConfiguration(const CallCallback &done);
+    void evacuate(work::EvacuateCallT call, const CallCallback &done);
+    void presence(Timestamp now, const std::string &fromInstance, const CallCallback &done);
     void requestAdvice(Timestamp now, const execution::AdviceRequest &question);
 
     void propose(work::CommandUnion command, WorkloadNode::Completed completed);
     /** Proposes @p command and answers with @p reply after the commit, or with the error if it fails. */
-    void proposeAndReply(work::CommandUnion command, work::WorkReplyT reply, const CallDone &done);
+    void proposeAndReply(work::CommandUnion command, work::WorkReplyT reply, const CallCallback &done);
 
     WorkloadNode &node;
     const CallerKeys callerKeys;
